--- a/src/main/java/pipitstage/Fields.java
+++ b/src/main/java/drumdeal/Fields.java
@@ -1,4 +1,4 @@
-package pipitstage;
+package drumdeal;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/src/main/java/pipitstage/Logic.java
+++ b/src/main/java/drumdeal/Logic.java
@@ -1,9 +1,9 @@
 // The interface is in Policy.java: settings, events and actions. docs/design.md explains the mechanism.
-package pipitstage;
+package drumdeal;
 
+import drumdeal.State.*;
 import java.nio.ByteBuffer;
 import java.util.*;
-import pipitstage.State.*;
 
 /** Every decision of a relay: which route, when, how long, and whether to hold, refuse or fail. */
 public final class Logic implements Policy {
--- a/src/main/java/pipitstage/Memory.java
+++ b/src/main/java/drumdeal/Memory.java
@@ -1,5 +1,11 @@
-package pipitstage;
+package drumdeal;
 
+import drumdeal.State.Circuit;
+import drumdeal.State.CircuitState;
+import drumdeal.State.Destination;
+import drumdeal.State.Group;
+import drumdeal.State.Rate;
+import drumdeal.State.Route;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -7,12 +13,6 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.Map;
-import pipitstage.State.Circuit;
-import pipitstage.State.CircuitState;
-import pipitstage.State.Destination;
-import pipitstage.State.Group;
-import pipitstage.State.Rate;
-import pipitstage.State.Route;
 
 /** What of {@link State} outlives the process in an upgrade: all but requests, calls out and notes. */
 final class Memory {
--- a/src/main/java/pipitstage/Policy.java
+++ b/src/main/java/drumdeal/Policy.java
@@ -1,4 +1,4 @@
-package pipitstage;
+package drumdeal;
 
 import java.util.List;
 
--- a/src/main/java/pipitstage/State.java
+++ b/src/main/java/drumdeal/State.java
@@ -1,5 +1,10 @@
-package pipitstage;
+package drumdeal;
 
+import drumdeal.Policy.Accepted;
+import drumdeal.Policy.Listed;
+import drumdeal.Policy.RequestClass;
+import drumdeal.Policy.Result;
+import drumdeal.Policy.Terms;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -7,11 +12,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pipitstage.Policy.Accepted;
-import pipitstage.Policy.Listed;
-import pipitstage.Policy.RequestClass;
-import pipitstage.Policy.Result;
-import pipitstage.Policy.Terms;
 
 /** What {@link Logic} remembers; it holds no decision. */
 final class State {
--- a/src/main/java/pipitstage/WireCodec.java
+++ b/src/main/java/drumdeal/WireCodec.java
@@ -1,4 +1,4 @@
-package pipitstage;
+package drumdeal;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
--- a/src/main/java/pipitstage/WireException.java
+++ b/src/main/java/drumdeal/WireException.java
@@ -1,4 +1,4 @@
-package pipitstage;
+package drumdeal;
 
 /** A line of the wire that cannot be read; the message says what is wrong and where. */
 public final class WireException extends RuntimeException {
--- a/src/main/java/pipitstage/relay/AcceptGuard.java
+++ b/src/main/java/drumdeal/relay/AcceptGuard.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
--- a/src/main/java/pipitstage/relay/AgentClient.java
+++ b/src/main/java/drumdeal/relay/AgentClient.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/pipitstage/relay/Classes.java
+++ b/src/main/java/drumdeal/relay/Classes.java
@@ -1,15 +1,15 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import drumdeal.Policy;
+import drumdeal.Policy.KeyScope;
+import drumdeal.Policy.Repeat;
+import drumdeal.Policy.RequestClass;
+import drumdeal.Policy.Terms;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import pipitstage.Policy;
-import pipitstage.Policy.KeyScope;
-import pipitstage.Policy.Repeat;
-import pipitstage.Policy.RequestClass;
-import pipitstage.Policy.Terms;
 
 /**
  * Which classes and tenants clients may name, and on what terms their messages are taken on. Clients learn of new
--- a/src/main/java/pipitstage/relay/ClientConnection.java
+++ b/src/main/java/drumdeal/relay/ClientConnection.java
@@ -1,5 +1,6 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import drumdeal.Policy;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandler;
@@ -29,7 +30,6 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
-import pipitstage.Policy;
 
 /** One client's connection: reads its requests, answers them in order, and gives up a client that stalls. */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements Message.ClientReply {
--- a/src/main/java/pipitstage/relay/ClientServer.java
+++ b/src/main/java/drumdeal/relay/ClientServer.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
--- a/src/main/java/pipitstage/relay/Clock.java
+++ b/src/main/java/drumdeal/relay/Clock.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 /**
  * A clock in microseconds that never steps back. It starts at the wall clock's time, so that a deadline
--- a/src/main/java/pipitstage/relay/Config.java
+++ b/src/main/java/drumdeal/relay/Config.java
@@ -1,7 +1,11 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
+import drumdeal.Fields;
+import drumdeal.Policy;
+import drumdeal.WireCodec;
+import drumdeal.WireException;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -13,10 +17,6 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import pipitstage.Fields;
-import pipitstage.Policy;
-import pipitstage.WireCodec;
-import pipitstage.WireException;
 
 /**
  * Everything that a relay is told at its start. Spans are in microseconds; {@code knownVersion} is -1 and
--- a/src/main/java/pipitstage/relay/Discovery.java
+++ b/src/main/java/drumdeal/relay/Discovery.java
@@ -1,7 +1,10 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
+import drumdeal.Fields;
+import drumdeal.Policy;
+import drumdeal.Policy.ListKind;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.util.concurrent.Future;
@@ -10,9 +13,6 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import pipitstage.Fields;
-import pipitstage.Policy;
-import pipitstage.Policy.ListKind;
 
 /**
  * Keeps the list of hosts. Every relay of a fleet does so at one service that takes one call after another: each asks
--- a/src/main/java/pipitstage/relay/EndMargin.java
+++ b/src/main/java/drumdeal/relay/EndMargin.java
@@ -1,7 +1,7 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
-import pipitstage.Policy.RequestClass;
-import pipitstage.Policy.Terms;
+import drumdeal.Policy.RequestClass;
+import drumdeal.Policy.Terms;
 
 /**
  * How much sooner a message's time is up here than at its client. The end of an undelivered message has to reach the
--- a/src/main/java/pipitstage/relay/Engine.java
+++ b/src/main/java/drumdeal/relay/Engine.java
@@ -1,5 +1,9 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import drumdeal.Policy;
+import drumdeal.Policy.Event;
+import drumdeal.Policy.LimitReport;
+import drumdeal.Policy.Result;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -12,10 +16,6 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import pipitstage.Policy;
-import pipitstage.Policy.Event;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.Result;
 
 /**
  * Drives the decision module: gathers what has come in into rounds and carries out what the module answers.
--- a/src/main/java/pipitstage/relay/EventLoopMonitor.java
+++ b/src/main/java/drumdeal/relay/EventLoopMonitor.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/pipitstage/relay/Handover.java
+++ b/src/main/java/drumdeal/relay/Handover.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/pipitstage/relay/HostCall.java
+++ b/src/main/java/drumdeal/relay/HostCall.java
@@ -1,8 +1,12 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
+import drumdeal.Fields;
+import drumdeal.Policy.LimitReport;
+import drumdeal.Policy.Result;
+import drumdeal.WireException;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -23,10 +27,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pipitstage.Fields;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.Result;
-import pipitstage.WireException;
 
 /** One call to a host, for one message, for several, or a probe; it knows the table of outcomes. */
 final class HostCall {
--- a/src/main/java/pipitstage/relay/HostClient.java
+++ b/src/main/java/drumdeal/relay/HostClient.java
@@ -1,5 +1,9 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import drumdeal.Policy;
+import drumdeal.Policy.LimitReport;
+import drumdeal.Policy.ListKind;
+import drumdeal.Policy.Result;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -17,10 +21,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import pipitstage.Policy;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.ListKind;
-import pipitstage.Policy.Result;
 
 /**
  * Calls hosts over kept connections and tells what became of each attempt. It resends nothing: a call goes
--- a/src/main/java/pipitstage/relay/IdleTimeout.java
+++ b/src/main/java/drumdeal/relay/IdleTimeout.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 /**
  * How long connections to hosts are kept idle. Guards against hosts, and what lies before them, that drop idle
--- a/src/main/java/pipitstage/relay/Journal.java
+++ b/src/main/java/drumdeal/relay/Journal.java
@@ -1,5 +1,6 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import drumdeal.Policy;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -16,7 +17,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.zip.CRC32;
-import pipitstage.Policy;
 
 /**
  * The write-ahead journal of accepted work: one segment of records, each with its length and checksum.
--- a/src/main/java/pipitstage/relay/Log.java
+++ b/src/main/java/drumdeal/relay/Log.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 /** One plain line on standard error for staff, so many in a second at the most. */
 final class Log {
@@ -16,14 +16,14 @@
         // Guards against a peer that makes the relay write more than its reader takes.
         if (isAllowed(System.nanoTime() / SECOND)) {
             String flat = text.length() > LONGEST ? text.substring(0, LONGEST) : text;
-            System.err.println("loftflow: " + flat.replaceAll("\\p{Cntrl}", "?"));
+            System.err.println("drumdeal: " + flat.replaceAll("\\p{Cntrl}", "?"));
         }
     }
 
     private static synchronized boolean isAllowed(long now) {
         if (now != second) {
             if (lines > MOST_IN_A_SECOND) {
-                System.err.println("loftflow: " + (lines - MOST_IN_A_SECOND) + " lines left out");
+                System.err.println("drumdeal: " + (lines - MOST_IN_A_SECOND) + " lines left out");
             }
             second = now;
             lines = 0;
--- a/src/main/java/pipitstage/relay/Main.java
+++ b/src/main/java/drumdeal/relay/Main.java
@@ -1,11 +1,11 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import drumdeal.SimHost;
+import drumdeal.WireException;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
-import pipitstage.SimHost;
-import pipitstage.WireException;
 
 /** Starts the relay or the simulator's adapter. */
 public final class Main {
@@ -19,7 +19,7 @@
         switch (mode) {
             case "serve" -> serve();
             case "simhost" -> simhost();
-            default -> exit("usage: java -jar loftflow.jar serve|simhost", MISUSE);
+            default -> exit("usage: java -jar drumdeal.jar serve|simhost", MISUSE);
         }
     }
 
--- a/src/main/java/pipitstage/relay/Message.java
+++ b/src/main/java/drumdeal/relay/Message.java
@@ -1,9 +1,9 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import drumdeal.Policy;
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
 import java.util.List;
-import pipitstage.Policy;
 
 /** A message that a client handed in, and how far its delivery has come. Times are the {@link Clock}'s. */
 final class Message {
--- a/src/main/java/pipitstage/relay/PredecessorLink.java
+++ b/src/main/java/drumdeal/relay/PredecessorLink.java
@@ -1,5 +1,6 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import drumdeal.Policy;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -13,7 +14,6 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import pipitstage.Policy;
 
 /** The newer process's side of an upgrade: takes over from the older one, and from what it leaves behind. */
 final class PredecessorLink {
--- a/src/main/java/pipitstage/relay/Relay.java
+++ b/src/main/java/drumdeal/relay/Relay.java
@@ -1,5 +1,6 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import drumdeal.Logic;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
@@ -10,7 +11,6 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import pipitstage.Logic;
 
 /** The relay as a whole: puts its parts together, starts them and ends them. */
 final class Relay implements AdminServer.Controls, SuccessorLink.Elder, Reload.Taker {
--- a/src/main/java/pipitstage/relay/Reload.java
+++ b/src/main/java/drumdeal/relay/Reload.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import java.util.Map;
 import java.util.concurrent.ExecutorService;
--- a/src/main/java/pipitstage/relay/Standing.java
+++ b/src/main/java/drumdeal/relay/Standing.java
@@ -1,11 +1,11 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import drumdeal.Policy;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import pipitstage.Policy;
 
 /**
  * Where a relay stands as its older process stops deciding: its list, what its module has learned, and what of the
--- a/src/main/java/pipitstage/relay/StateFolder.java
+++ b/src/main/java/drumdeal/relay/StateFolder.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
--- a/src/main/java/pipitstage/relay/Stats.java
+++ b/src/main/java/drumdeal/relay/Stats.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/pipitstage/relay/SuccessorLink.java
+++ b/src/main/java/drumdeal/relay/SuccessorLink.java
@@ -1,5 +1,6 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import drumdeal.Policy;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
@@ -14,7 +15,6 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import pipitstage.Policy;
 
 /** The older process's side of an upgrade: waits for a newer one and hands over to the first that asks. */
 final class SuccessorLink {
--- a/src/main/java/pipitstage/relay/Target.java
+++ b/src/main/java/drumdeal/relay/Target.java
@@ -1,11 +1,11 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import drumdeal.Fields;
+import drumdeal.Policy;
+import drumdeal.WireException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import pipitstage.Fields;
-import pipitstage.Policy;
-import pipitstage.WireException;
 
 /** A host in discovery's list and the address at which this relay reaches it. */
 record Target(Policy.Listed listed, InetSocketAddress address) {
--- a/src/test/java/pipitstage/Fleet.java
+++ b/src/test/java/drumdeal/Fleet.java
@@ -1,4 +1,4 @@
-package pipitstage;
+package drumdeal;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/pipitstage/FleetPaceTest.java
+++ b/src/test/java/drumdeal/FleetPaceTest.java
@@ -1,17 +1,17 @@
-package pipitstage;
+package drumdeal;
 
+import static drumdeal.Relay.MS;
+import static drumdeal.Relay.S;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.Relay.MS;
-import static pipitstage.Relay.S;
 
+import drumdeal.Policy.Availability;
+import drumdeal.Policy.RateHint;
+import drumdeal.Policy.Result;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pipitstage.Policy.Availability;
-import pipitstage.Policy.RateHint;
-import pipitstage.Policy.Result;
 
 /** What a hundred relays together get served at a destination that takes so many calls in each second. */
 class FleetPaceTest {
--- a/src/test/java/pipitstage/FleetReleaseTest.java
+++ b/src/test/java/drumdeal/FleetReleaseTest.java
@@ -1,17 +1,17 @@
-package pipitstage;
+package drumdeal;
 
+import static drumdeal.Relay.MS;
+import static drumdeal.Relay.S;
+import static drumdeal.Relay.route;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.Relay.MS;
-import static pipitstage.Relay.S;
-import static pipitstage.Relay.route;
 
+import drumdeal.Policy.Result;
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import pipitstage.Policy.Result;
 
 /**
  * What a destination gets from thirty relays together as it returns cold from an outage: never more than the rules
--- a/src/test/java/pipitstage/LogicTest.java
+++ b/src/test/java/drumdeal/LogicTest.java
@@ -1,21 +1,21 @@
-package pipitstage;
+package drumdeal;
 
+import static drumdeal.Relay.MS;
+import static drumdeal.Relay.S;
+import static drumdeal.Relay.route;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.Relay.MS;
-import static pipitstage.Relay.S;
-import static pipitstage.Relay.route;
 
+import drumdeal.Policy.Availability;
+import drumdeal.Policy.Listed;
+import drumdeal.Policy.Result;
+import drumdeal.State.Word;
 import java.nio.ByteBuffer;
 import java.util.HexFormat;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pipitstage.Policy.Availability;
-import pipitstage.Policy.Listed;
-import pipitstage.Policy.Result;
-import pipitstage.State.Word;
 
 class LogicTest {
     private final Relay relay = new Relay(Relay.settings())
--- a/src/test/java/pipitstage/RandomEventsTest.java
+++ b/src/test/java/drumdeal/RandomEventsTest.java
@@ -1,9 +1,15 @@
-package pipitstage;
+package drumdeal;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import drumdeal.Policy.Availability;
+import drumdeal.Policy.Event;
+import drumdeal.Policy.LimitReport;
+import drumdeal.Policy.Repeat;
+import drumdeal.Policy.RequestClass;
+import drumdeal.Policy.Result;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -12,12 +18,6 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pipitstage.Policy.Availability;
-import pipitstage.Policy.Event;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.Repeat;
-import pipitstage.Policy.RequestClass;
-import pipitstage.Policy.Result;
 
 /** Plays legal events in awkward order and checks the rules on every action. */
 class RandomEventsTest {
--- a/src/test/java/pipitstage/Relay.java
+++ b/src/test/java/drumdeal/Relay.java
@@ -1,17 +1,17 @@
-package pipitstage;
-
+package drumdeal;
+
+import drumdeal.Policy.Availability;
+import drumdeal.Policy.Event;
+import drumdeal.Policy.KeyScope;
+import drumdeal.Policy.LimitReport;
+import drumdeal.Policy.Repeat;
+import drumdeal.Policy.RequestClass;
+import drumdeal.Policy.Result;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
-import pipitstage.Policy.Availability;
-import pipitstage.Policy.Event;
-import pipitstage.Policy.KeyScope;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.Repeat;
-import pipitstage.Policy.RequestClass;
-import pipitstage.Policy.Result;
 
 /** A relay of tests: plays rounds to a module and keeps what it asks for. */
 final class Relay implements Policy.Actions {
--- a/src/test/java/pipitstage/ResumptionTest.java
+++ b/src/test/java/drumdeal/ResumptionTest.java
@@ -1,17 +1,17 @@
-package pipitstage;
+package drumdeal;
 
+import static drumdeal.Relay.MS;
+import static drumdeal.Relay.S;
+import static drumdeal.Relay.route;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.Relay.MS;
-import static pipitstage.Relay.S;
-import static pipitstage.Relay.route;
 
+import drumdeal.Policy.Result;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
-import pipitstage.Policy.Result;
 
 /** What a restart finds taken on and untried is still tried, whatever it comes back to. */
 class ResumptionTest {
--- a/src/test/java/pipitstage/ShortDeadlineTest.java
+++ b/src/test/java/drumdeal/ShortDeadlineTest.java
@@ -1,19 +1,19 @@
-package pipitstage;
+package drumdeal;
 
+import static drumdeal.Relay.MS;
+import static drumdeal.Relay.S;
+import static drumdeal.Relay.route;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.Relay.MS;
-import static pipitstage.Relay.S;
-import static pipitstage.Relay.route;
 
+import drumdeal.Policy.KeyScope;
+import drumdeal.Policy.Repeat;
+import drumdeal.Policy.RequestClass;
+import drumdeal.Policy.Result;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import pipitstage.Policy.KeyScope;
-import pipitstage.Policy.Repeat;
-import pipitstage.Policy.RequestClass;
-import pipitstage.Policy.Result;
 
 /** A customer whose messages have far less time than spans that suit others. */
 class ShortDeadlineTest {
--- a/src/test/java/pipitstage/SimHostTest.java
+++ b/src/test/java/drumdeal/SimHostTest.java
@@ -1,4 +1,4 @@
-package pipitstage;
+package drumdeal;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/pipitstage/SizeTest.java
+++ b/src/test/java/drumdeal/SizeTest.java
@@ -1,4 +1,4 @@
-package pipitstage;
+package drumdeal;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class SizeTest {
-    private static final Path LOGIC = Path.of("src/main/java/pipitstage/Logic.java");
+    private static final Path LOGIC = Path.of("src/main/java/drumdeal/Logic.java");
 
     @Test
     void moduleStaysWithinItsSize() throws IOException {
--- a/src/test/java/pipitstage/relay/ClassesTest.java
+++ b/src/test/java/drumdeal/relay/ClassesTest.java
@@ -1,14 +1,14 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
+import drumdeal.Policy;
+import drumdeal.Policy.KeyScope;
+import drumdeal.Policy.Repeat;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pipitstage.Policy;
-import pipitstage.Policy.KeyScope;
-import pipitstage.Policy.Repeat;
 
 /** On what terms messages are taken on while settings change. */
 class ClassesTest {
--- a/src/test/java/pipitstage/relay/DiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/DiscoveryTest.java
@@ -1,10 +1,10 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import static drumdeal.relay.RelayProcess.await;
+import static drumdeal.relay.RelayProcess.list;
+import static drumdeal.relay.RelayProcess.target;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
-import static pipitstage.relay.RelayProcess.list;
-import static pipitstage.relay.RelayProcess.target;
 
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
--- a/src/test/java/pipitstage/relay/DoorTest.java
+++ b/src/test/java/drumdeal/relay/DoorTest.java
@@ -1,12 +1,12 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import static drumdeal.relay.RelayProcess.await;
+import static drumdeal.relay.RelayProcess.list;
+import static drumdeal.relay.RelayProcess.target;
+import static drumdeal.relay.StubPeer.answer;
+import static drumdeal.relay.StubPeer.status;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
-import static pipitstage.relay.RelayProcess.list;
-import static pipitstage.relay.RelayProcess.target;
-import static pipitstage.relay.StubPeer.answer;
-import static pipitstage.relay.StubPeer.status;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -136,7 +136,7 @@
             Process process = builder.start();
             String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertEquals(2, process.waitFor());
-            assertTrue(output.startsWith("loftflow: "), output);
+            assertTrue(output.startsWith("drumdeal: "), output);
             assertEquals(1, output.lines().count(), output);
         }
     }
--- a/src/test/java/pipitstage/relay/EndMarginTest.java
+++ b/src/test/java/drumdeal/relay/EndMarginTest.java
@@ -1,14 +1,14 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import static drumdeal.relay.EndMargin.EXPECTED_STALL;
+import static drumdeal.relay.EndMargin.REMEMBERED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static pipitstage.relay.EndMargin.EXPECTED_STALL;
-import static pipitstage.relay.EndMargin.REMEMBERED;
 
+import drumdeal.Policy.KeyScope;
+import drumdeal.Policy.Repeat;
+import drumdeal.Policy.RequestClass;
+import drumdeal.Policy.Terms;
 import org.junit.jupiter.api.Test;
-import pipitstage.Policy.KeyScope;
-import pipitstage.Policy.Repeat;
-import pipitstage.Policy.RequestClass;
-import pipitstage.Policy.Terms;
 
 class EndMarginTest {
     private static final long SECOND = 1_000_000;
--- a/src/test/java/pipitstage/relay/FloodTest.java
+++ b/src/test/java/drumdeal/relay/FloodTest.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/pipitstage/relay/HealthTest.java
+++ b/src/test/java/drumdeal/relay/HealthTest.java
@@ -1,9 +1,9 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import static drumdeal.relay.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/src/test/java/pipitstage/relay/IdleCrowdTest.java
+++ b/src/test/java/drumdeal/relay/IdleCrowdTest.java
@@ -1,12 +1,12 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import static drumdeal.relay.RelayProcess.await;
+import static drumdeal.relay.RelayProcess.list;
+import static drumdeal.relay.RelayProcess.target;
+import static drumdeal.relay.StubPeer.answer;
+import static drumdeal.relay.StubPeer.status;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
-import static pipitstage.relay.RelayProcess.list;
-import static pipitstage.relay.RelayProcess.target;
-import static pipitstage.relay.StubPeer.answer;
-import static pipitstage.relay.StubPeer.status;
 
 import java.io.IOException;
 import java.net.Socket;
--- a/src/test/java/pipitstage/relay/IdleHostConnectionTest.java
+++ b/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
@@ -1,10 +1,13 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import static drumdeal.relay.RelayProcess.await;
+import static drumdeal.relay.StubPeer.status;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
-import static pipitstage.relay.StubPeer.status;
 
+import drumdeal.Policy;
+import drumdeal.Policy.LimitReport;
+import drumdeal.Policy.Result;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -22,9 +25,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pipitstage.Policy;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.Result;
 
 /** Kept connections to a host that end just as a call is about to go on them, in steps on the event loop itself. */
 class IdleHostConnectionTest implements HostClient.Results {
--- a/src/test/java/pipitstage/relay/JournalTest.java
+++ b/src/test/java/drumdeal/relay/JournalTest.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assumptions.assumeTrue;
 
+import drumdeal.Policy.Result;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,7 +16,6 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pipitstage.Policy.Result;
 
 class JournalTest {
     private static final long DISK = 3 << 20;
--- a/src/test/java/pipitstage/relay/RestartTest.java
+++ b/src/test/java/drumdeal/relay/RestartTest.java
@@ -1,11 +1,12 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import static drumdeal.relay.RelayProcess.await;
+import static drumdeal.relay.StubPeer.status;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
-import static pipitstage.relay.StubPeer.status;
 
+import drumdeal.Policy;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.Socket;
@@ -13,7 +14,6 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pipitstage.Policy;
 
 /** What a relay owes across the end of its process. */
 class RestartTest extends RelayTestBase {
--- a/src/test/java/pipitstage/relay/SilentDiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/SilentDiscoveryTest.java
@@ -1,7 +1,9 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import drumdeal.Policy;
+import drumdeal.Policy.ListKind;
 import io.netty.channel.embedded.EmbeddedChannel;
 import io.netty.handler.codec.http.HttpMethod;
 import java.net.InetSocketAddress;
@@ -16,8 +18,6 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pipitstage.Policy;
-import pipitstage.Policy.ListKind;
 
 /** When discovery is asked again, on a clock of the test's own: what a silent call misses counts as told 6 s after it. */
 class SilentDiscoveryTest {
--- a/src/test/java/pipitstage/relay/StubPeer.java
+++ b/src/test/java/drumdeal/relay/StubPeer.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/test/java/pipitstage/relay/UpgradeTest.java
+++ b/src/test/java/drumdeal/relay/UpgradeTest.java
@@ -1,10 +1,10 @@
-package pipitstage.relay;
+package drumdeal.relay;
 
+import static drumdeal.relay.RelayProcess.await;
+import static drumdeal.relay.StubPeer.status;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
-import static pipitstage.relay.StubPeer.status;
 
 import java.io.DataInputStream;
 import java.io.IOException;
