--- a/src/main/java/drumdeal/WireException.java
+++ b/src/main/java/drumdeal/JsonDataException.java
@@ -1,10 +1,10 @@
 package drumdeal;
 
 /** A line of the wire that cannot be read; the message says what is wrong and where. */
-public final class WireException extends RuntimeException {
+public final class JsonDataException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public WireException(String message) {
+    public JsonDataException(String message) {
         super(message);
     }
 }
--- a/src/main/java/drumdeal/Fields.java
+++ b/src/main/java/drumdeal/JsonReader.java
@@ -9,42 +9,42 @@
 import java.util.Map;
 
 /** Named access to a JSON object or to an array of values in a known order. */
-public final class Fields {
-    private final String where;
+public final class JsonReader {
+    private final String path;
     private final Map<?, ?> members;
     private final List<?> values;
 
-    private Fields(String where, Map<?, ?> members, List<?> values) {
-        this.where = where;
+    private JsonReader(String where, Map<?, ?> members, List<?> values) {
+        this.path = where;
         this.members = members;
         this.values = values;
     }
 
-    public static Fields ofObject(String where, Object json) {
+    public static JsonReader ofObject(String where, Object json) {
         if (json instanceof Map<?, ?> members) {
-            return new Fields(where, members, List.of());
+            return new JsonReader(where, members, List.of());
         }
-        throw new WireException(where + ": an object is needed");
+        throw new JsonDataException(where + ": an object is needed");
     }
 
-    public static Fields ofArray(String where, Object json) {
+    public static JsonReader ofArray(String where, Object json) {
         if (json instanceof List<?> values) {
-            return new Fields(where, Map.of(), values);
+            return new JsonReader(where, Map.of(), values);
         }
-        throw new WireException(where + ": an array is needed");
+        throw new JsonDataException(where + ": an array is needed");
     }
 
     /** An array that begins with its own name. */
-    static Fields ofMessage(Object json) {
-        Fields message = ofArray("message", json);
+    static JsonReader ofMessage(Object json) {
+        JsonReader message = ofArray("message", json);
         return ofArray(message.text(0), json);
     }
 
     /** Reads the value at the parser's current token into maps, lists, text, numbers and booleans. */
-    public static Object read(JsonParser parser) throws IOException {
+    public static Object readValue(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
-            throw new WireException("the line ends early");
+            throw new JsonDataException("the line ends early");
         }
         return switch (token) {
             case START_ARRAY -> readArray(parser);
@@ -54,14 +54,14 @@
             case VALUE_TRUE -> Boolean.TRUE;
             case VALUE_FALSE -> Boolean.FALSE;
             case VALUE_NULL -> null;
-            default -> throw new WireException("unexpected " + token);
+            default -> throw new JsonDataException("unexpected " + token);
         };
     }
 
     private static List<Object> readArray(JsonParser parser) throws IOException {
         List<Object> values = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            values.add(read(parser));
+            values.add(readValue(parser));
         }
         return values;
     }
@@ -71,7 +71,7 @@
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             parser.nextToken();
-            members.put(name, read(parser));
+            members.put(name, readValue(parser));
         }
         return members;
     }
@@ -83,11 +83,11 @@
         return members.get(at);
     }
 
-    public Fields object(Object at) {
-        return ofObject(where + "." + at, value(at));
+    public JsonReader object(Object at) {
+        return ofObject(path + "." + at, value(at));
     }
 
-    public List<?> list(Object at) {
+    public List<?> listOrEmpty(Object at) {
         Object value = value(at);
         if (value == null) {
             return List.of();
@@ -95,14 +95,14 @@
         if (value instanceof List<?> list) {
             return list;
         }
-        throw missing(at, "an array");
+        throw wrongType(at, "an array");
     }
 
     public String text(Object at) {
         if (value(at) instanceof String text) {
             return text;
         }
-        throw missing(at, "text");
+        throw wrongType(at, "text");
     }
 
     public String textOrNull(Object at) {
@@ -113,25 +113,25 @@
         if (value(at) instanceof Number number) {
             return number.doubleValue();
         }
-        throw missing(at, "a number");
+        throw wrongType(at, "a number");
     }
 
     public double number(Object at, double absent) {
         return value(at) == null ? absent : number(at);
     }
 
-    public long whole(Object at) {
+    public long integer(Object at) {
         if (value(at) instanceof Number number) {
             return number.longValue();
         }
-        throw missing(at, "a whole number");
+        throw wrongType(at, "a whole number");
     }
 
-    public long whole(Object at, long absent) {
-        return value(at) == null ? absent : whole(at);
+    public long integer(Object at, long absent) {
+        return value(at) == null ? absent : integer(at);
     }
 
-    public boolean flag(Object at) {
+    public boolean booleanOrFalse(Object at) {
         Object value = value(at);
         if (value == null) {
             return false;
@@ -139,19 +139,19 @@
         if (value instanceof Boolean flag) {
             return flag;
         }
-        throw missing(at, "true or false");
+        throw wrongType(at, "true or false");
     }
 
     /** Seconds on the wire as microseconds. */
-    public long micros(Object at) {
+    public long secondsAsMicros(Object at) {
         return Math.round(number(at) * 1e6);
     }
 
-    public long micros(Object at, long absent) {
-        return value(at) == null ? absent : micros(at);
+    public long secondsAsMicros(Object at, long absent) {
+        return value(at) == null ? absent : secondsAsMicros(at);
     }
 
-    private WireException missing(Object at, String what) {
-        return new WireException(where + ": value " + at + " must be " + what);
+    private JsonDataException wrongType(Object at, String what) {
+        return new JsonDataException(path + ": value " + at + " must be " + what);
     }
 }
--- /dev/null
+++ b/src/main/java/drumdeal/SimulatorAdapter.java
@@ -0,0 +1,139 @@
+package drumdeal;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonGenerator;
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonProcessingException;
+import java.io.BufferedReader;
+import java.io.BufferedWriter;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.io.OutputStreamWriter;
+import java.io.Reader;
+import java.io.StringWriter;
+import java.io.Writer;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
+
+/** Hosts one decision module for each simulated relay and speaks the simulator's wire. */
+public final class SimulatorAdapter {
+    private final JsonFactory jsonFactory = new JsonFactory();
+    private final JsonCodec codec = new JsonCodec();
+    private final Function<Policy.Settings, Policy> moduleFactory;
+    private final Map<Long, Policy> modulesByInstance = new HashMap<>();
+    private final Map<Long, List<Policy.Event>> pendingEvents = new LinkedHashMap<>();
+
+    /** A host that makes each instance's module by {@code start}. */
+    SimulatorAdapter(Function<Policy.Settings, Policy> start) {
+        this.moduleFactory = start;
+    }
+
+    /** Runs the decision module on standard input and output until the input ends. */
+    public static void runOnStandardStreams() throws IOException {
+        new SimulatorAdapter(DeliveryPolicy::new).run(new InputStreamReader(System.in, StandardCharsets.UTF_8),
+                new OutputStreamWriter(System.out, StandardCharsets.UTF_8));
+    }
+
+    /** Answers each line of {@code in} by one line on {@code out}. */
+    void run(Reader in, Writer out) throws IOException {
+        BufferedReader lines = new BufferedReader(in);
+        BufferedWriter replies = new BufferedWriter(out);
+        long number = 0;
+        for (String line = lines.readLine(); line != null; line = lines.readLine()) {
+            number++;
+            try {
+                replies.write(processBatch(line));
+            } catch (JsonProcessingException e) {
+                throw new JsonDataException("line " + number + ": not JSON: " + e.getOriginalMessage());
+            } catch (JsonDataException e) {
+                throw new JsonDataException("line " + number + ": " + e.getMessage());
+            }
+            replies.write('\n');
+            replies.flush();
+        }
+    }
+
+    private String processBatch(String line) throws IOException {
+        JsonReader batch;
+        try (JsonParser parser = jsonFactory.createParser(line)) {
+            parser.nextToken();
+            batch = JsonReader.ofObject("batch", JsonReader.readValue(parser));
+            if (parser.nextToken() != null) {
+                throw new JsonDataException("batch: more than one value");
+            }
+        }
+        long now = batch.secondsAsMicros("t-s");
+        long number = batch.integer("n");
+        pendingEvents.clear();
+        for (Object json : batch.listOrEmpty("groups")) {
+            JsonReader group = JsonReader.ofObject("group", json);
+            long instance = group.integer("i");
+            for (Object message : group.listOrEmpty("in")) {
+                handleMessage(instance, JsonReader.ofMessage(message));
+            }
+        }
+        return buildReply(number, now);
+    }
+
+    private void handleMessage(long instance, JsonReader message) {
+        String name = message.text(0);
+        switch (name) {
+            case "directory" -> codec.storeRouteList(message);
+            case "launch" -> {
+                modulesByInstance.put(instance, createModule(message));
+                pendingEvents.put(instance, new ArrayList<>());
+            }
+            case "detach" -> {
+                modulesByInstance.remove(instance);
+                pendingEvents.remove(instance);
+            }
+            default -> {
+                Policy.Event event = codec.readEvent(name, message);
+                if (modulesByInstance.containsKey(instance)) {
+                    pendingEvents.computeIfAbsent(instance, i -> new ArrayList<>()).add(event);
+                }
+            }
+        }
+    }
+
+    private Policy createModule(JsonReader message) {
+        try {
+            return moduleFactory.apply(JsonCodec.readSettings(message.integer(1), message.object(2)));
+        } catch (IllegalArgumentException e) {
+            throw new JsonDataException("launch: " + e.getMessage());
+        }
+    }
+
+    private String buildReply(long number, long now) throws IOException {
+        StringWriter text = new StringWriter();
+        try (JsonGenerator json = jsonFactory.createGenerator(text)) {
+            json.writeStartObject();
+            json.writeNumberField("n", number);
+            json.writeArrayFieldStart("groups");
+            for (Map.Entry<Long, List<Policy.Event>> entry : pendingEvents.entrySet()) {
+                json.writeStartObject();
+                json.writeNumberField("i", entry.getKey());
+                json.writeArrayFieldStart("cmds");
+                runRound(modulesByInstance.get(entry.getKey()), now, entry.getValue(), new JsonCodec.CommandWriter(json));
+                json.writeEndArray();
+                json.writeEndObject();
+            }
+            json.writeEndArray();
+            json.writeEndObject();
+        }
+        return text.toString();
+    }
+
+    private static void runRound(Policy policy, long now, List<Policy.Event> events, JsonCodec.CommandWriter commands) {
+        try {
+            policy.onRound(now, events, commands);
+        } catch (RuntimeException e) {
+            commands.writeInternalError(String.valueOf(e));
+        }
+    }
+}
--- a/src/main/java/drumdeal/relay/AcceptGuard.java
+++ b/src/main/java/drumdeal/relay/AcceptErrorHandler.java
@@ -8,13 +8,13 @@
  * Guards against a lack of descriptors or memory, which is over soon, that would end the event loop: Netty
  * logs what nobody takes, and logging opens files. Those that connect meanwhile wait a little longer.
  */
-class AcceptGuard extends ChannelInboundHandlerAdapter {
-    private static final long PAUSE_MS = 50;
+class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
+    private static final long ACCEPT_PAUSE_MILLIS = 50;
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        Log.line("can't accept: " + cause);
+        Log.write("can't accept: " + cause);
         ctx.channel().config().setAutoRead(false);
-        ctx.executor().schedule(() -> ctx.channel().config().setAutoRead(true), PAUSE_MS, TimeUnit.MILLISECONDS);
+        ctx.executor().schedule(() -> ctx.channel().config().setAutoRead(true), ACCEPT_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/drumdeal/relay/AdminServer.java
+++ b/src/main/java/drumdeal/relay/AdminServer.java
@@ -33,27 +33,27 @@
 /** The operators' door: answers one call a connection at an address of its own. */
 final class AdminServer {
     /** How many callers may be there at once; these descriptors are kept for them. */
-    static final int MOST_CALLERS = 24;
-    private static final int LARGEST_CALL = 4096;
+    static final int MAX_CONNECTIONS = 24;
+    private static final int MAX_REQUEST_BYTES = 4096;
     /** From connecting; after it the caller is let go, whatever it has sent. */
-    private static final long CALL_MS = 2000;
+    private static final long CONNECTION_TIMEOUT_MILLIS = 2000;
 
     /** What operators may ask of the relay. */
     interface Controls {
-        boolean takesClients();
+        boolean isAcceptingClients();
 
-        String stats();
+        String statsJson();
 
         /** Sends clients away. */
-        void empty();
+        void startDraining();
 
         /** Takes clients again. */
-        void refill();
+        void stopDraining();
     }
 
     private final Controls controls;
     /** Callers that have no answer yet or still read it, the one that came first ahead. */
-    private final Set<Channel> callers = new LinkedHashSet<>();
+    private final Set<Channel> connections = new LinkedHashSet<>();
 
     AdminServer(Controls controls) {
         this.controls = controls;
@@ -62,36 +62,36 @@
     /** Listens for operators at an address. */
     ChannelFuture listen(EventLoop loop, InetSocketAddress address) {
         return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).handler(new AcceptGuard())
+                .option(ChannelOption.SO_REUSEADDR, true).handler(new AcceptErrorHandler())
                 .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST_CALL),
-                                new Caller());
+                        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                                new RequestHandler());
                     }
                 }).bind(address);
     }
 
-    private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private Future<?> timer;
         private boolean answered;
 
         /** Guards against callers that say nothing and stay: those that have stood longest make room. */
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            if (callers.size() >= MOST_CALLERS) {
-                Channel first = callers.iterator().next();
-                callers.remove(first);
+            if (connections.size() >= MAX_CONNECTIONS) {
+                Channel first = connections.iterator().next();
+                connections.remove(first);
                 first.close();
             }
-            callers.add(ctx.channel());
-            timer = ctx.executor().schedule(() -> ctx.close(), CALL_MS, TimeUnit.MILLISECONDS);
+            connections.add(ctx.channel());
+            timer = ctx.executor().schedule(() -> ctx.close(), CONNECTION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             timer.cancel(false);
-            callers.remove(ctx.channel());
+            connections.remove(ctx.channel());
         }
 
         @Override
@@ -103,7 +103,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest call) {
             if (!answered) {
                 answered = true;
-                FullHttpResponse answer = answer(call);
+                FullHttpResponse answer = handleRequest(call);
                 HttpUtil.setContentLength(answer, answer.content().readableBytes());
                 answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
                 ctx.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
@@ -111,9 +111,9 @@
         }
     }
 
-    private FullHttpResponse answer(FullHttpRequest call) {
+    private FullHttpResponse handleRequest(FullHttpRequest call) {
         if (call.decoderResult().isFailure()) {
-            return status(HttpResponseStatus.BAD_REQUEST);
+            return emptyResponse(HttpResponseStatus.BAD_REQUEST);
         }
         HttpMethod method = switch (call.uri()) {
             case "/healthcheck", "/stats" -> HttpMethod.GET;
@@ -121,33 +121,33 @@
             default -> null;
         };
         if (method == null) {
-            return status(HttpResponseStatus.NOT_FOUND);
+            return emptyResponse(HttpResponseStatus.NOT_FOUND);
         }
         if (!method.equals(call.method())) {
-            return status(HttpResponseStatus.METHOD_NOT_ALLOWED);
+            return emptyResponse(HttpResponseStatus.METHOD_NOT_ALLOWED);
         }
         switch (call.uri()) {
             case "/stats" -> {
-                return stats();
+                return statsResponse();
             }
-            case "/healthcheck/fail" -> controls.empty();
-            case "/healthcheck/ok" -> controls.refill();
+            case "/healthcheck/fail" -> controls.startDraining();
+            case "/healthcheck/ok" -> controls.stopDraining();
             default -> {
-                return status(controls.takesClients() ? HttpResponseStatus.OK
+                return emptyResponse(controls.isAcceptingClients() ? HttpResponseStatus.OK
                         : HttpResponseStatus.SERVICE_UNAVAILABLE);
             }
         }
-        return status(HttpResponseStatus.OK);
+        return emptyResponse(HttpResponseStatus.OK);
     }
 
-    private FullHttpResponse stats() {
-        ByteBuf text = Unpooled.copiedBuffer(controls.stats(), StandardCharsets.UTF_8);
+    private FullHttpResponse statsResponse() {
+        ByteBuf text = Unpooled.copiedBuffer(controls.statsJson(), StandardCharsets.UTF_8);
         FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, text);
         answer.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
         return answer;
     }
 
-    private static FullHttpResponse status(HttpResponseStatus status) {
+    private static FullHttpResponse emptyResponse(HttpResponseStatus status) {
         return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
     }
 }
--- a/src/main/java/drumdeal/relay/AgentClient.java
+++ b/src/main/java/drumdeal/relay/AgentClient.java
@@ -27,59 +27,59 @@
 /** One kept connection to discovery's agent that carries one request at a time. */
 final class AgentClient implements Discovery.Agent {
     /** In place of a status: no whole answer came in time; 0 where the connection ended. */
-    static final int SILENT = -1;
-    private static final int LARGEST_ANSWER = 2 << 20;
-    private static final int CONNECT_TIMEOUT_MS = 1000;
+    static final int TIMED_OUT = -1;
+    private static final int MAX_RESPONSE_BYTES = 2 << 20;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1000;
     /** The agent may close a connection that rests. One that ends so soon under a request has crossed it. */
-    private static final long CROSSED = TimeUnit.MILLISECONDS.toNanos(200);
+    private static final long CLOSE_RACE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    /** What became of a request; {@code status} is 0 or {@link #SILENT} where no answer came. */
-    interface Answer {
-        void come(int status, String body);
+    /** What became of a request; {@code status} is 0 or {@link #TIMED_OUT} where no answer came. */
+    interface ResponseHandler {
+        void handle(int status, String body);
     }
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
-    private InetSocketAddress agent;
+    private InetSocketAddress agentAddress;
     private Channel channel;
-    private Answer waiting;
-    private Future<?> timeout;
+    private ResponseHandler pendingHandler;
+    private Future<?> timeoutTimer;
     private HttpMethod method;
     private String path;
     private String body;
     /** Until when the end of the connection, which has rested, is no answer. */
-    private long crossesUntil;
-    private boolean mayCross;
+    private long resendUntilNanos;
+    private boolean connectionReused;
 
     AgentClient(EventLoop loop, InetSocketAddress agent) {
         this.loop = loop;
-        this.agent = agent;
+        this.agentAddress = agent;
         bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(LARGEST_ANSWER),
-                                new Answers());
+                        ch.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                new ResponseReader());
                     }
                 });
     }
 
     /** Sends a request; the answer, or the lack of one within the span, is told once and later. */
     @Override
-    public void request(HttpMethod method, String path, String body, long timeoutMs, Answer answer) {
-        if (waiting != null) {
+    public void request(HttpMethod method, String path, String body, long timeoutMs, ResponseHandler answer) {
+        if (pendingHandler != null) {
             throw new IllegalStateException("a request is out");
         }
-        waiting = answer;
-        timeout = loop.schedule(this::giveUp, timeoutMs, TimeUnit.MILLISECONDS);
+        pendingHandler = answer;
+        timeoutTimer = loop.schedule(this::timeOut, timeoutMs, TimeUnit.MILLISECONDS);
         this.method = method;
         this.path = path;
         this.body = body;
-        mayCross = channel != null && channel.isActive();
-        if (mayCross) {
-            crossesUntil = System.nanoTime() + CROSSED;
+        connectionReused = channel != null && channel.isActive();
+        if (connectionReused) {
+            resendUntilNanos = System.nanoTime() + CLOSE_RACE_NANOS;
             channel.writeAndFlush(request());
         } else {
             connect();
@@ -89,19 +89,19 @@
     private FullHttpRequest request() {
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path,
                 Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
-        request.headers().set(HttpHeaderNames.HOST, agent.getHostString() + ":" + agent.getPort());
+        request.headers().set(HttpHeaderNames.HOST, agentAddress.getHostString() + ":" + agentAddress.getPort());
         HttpUtil.setContentLength(request, request.content().readableBytes());
         return request;
     }
 
     private void connect() {
-        ChannelFuture opening = bootstrap.connect(agent);
+        ChannelFuture opening = bootstrap.connect(agentAddress);
         channel = opening.channel();
         opening.addListener(connected -> {
             if (connected.isSuccess()) {
                 opening.channel().writeAndFlush(request());
             } else {
-                lost(opening.channel());
+                connectionLost(opening.channel());
             }
         });
     }
@@ -109,7 +109,7 @@
     /** Goes to another address from now on; a request that has no answer yet gets none. */
     @Override
     public void moveTo(InetSocketAddress next) {
-        agent = next;
+        agentAddress = next;
         Channel old = channel;
         channel = null;
         if (old != null) {
@@ -119,14 +119,14 @@
     }
 
     /** Guards against the end of an earlier connection that would be taken for the end of this one. */
-    private void lost(Channel ended) {
+    private void connectionLost(Channel ended) {
         if (ended != channel) {
             return;
         }
         channel = null;
         // A list and a notice may be asked for and told twice.
-        boolean again = waiting != null && mayCross && System.nanoTime() < crossesUntil;
-        mayCross = false;
+        boolean again = pendingHandler != null && connectionReused && System.nanoTime() < resendUntilNanos;
+        connectionReused = false;
         if (again) {
             connect();
         } else {
@@ -135,23 +135,23 @@
     }
 
     /** Guards against an agent that fell silent: its late answer must not be taken for the next one's. */
-    private void giveUp() {
+    private void timeOut() {
         Channel silent = channel;
         channel = null;
         silent.close();
-        finish(SILENT, "");
+        finish(TIMED_OUT, "");
     }
 
     private void finish(int status, String body) {
-        if (waiting != null) {
-            Answer answer = waiting;
-            waiting = null;
-            timeout.cancel(false);
-            answer.come(status, body);
+        if (pendingHandler != null) {
+            ResponseHandler answer = pendingHandler;
+            pendingHandler = null;
+            timeoutTimer.cancel(false);
+            answer.handle(status, body);
         }
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ResponseReader extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             if (ctx.channel() != channel) {
@@ -166,7 +166,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            lost(ctx.channel());
+            connectionLost(ctx.channel());
         }
 
         @Override
--- a/src/main/java/drumdeal/relay/ClientConnection.java
+++ b/src/main/java/drumdeal/relay/ClientConnection.java
@@ -33,36 +33,36 @@
 
 /** One client's connection: reads its requests, answers them in order, and gives up a client that stalls. */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements Message.ClientReply {
-    private static final int MOST_PIPELINED = 8;
+    private static final int MAX_PIPELINED_REQUESTS = 8;
     /** For a first request from connecting, for later ones from their first byte. */
-    private static final long REQUEST_MS = 2500;
-    private static final long IDLE_MS = 10_000;
-    private static final long LINGER_MS = 2000;
+    private static final long REQUEST_TIMEOUT_MILLIS = 2500;
+    private static final long IDLE_TIMEOUT_MILLIS = 10_000;
+    private static final long LINGER_TIMEOUT_MILLIS = 2000;
 
     private final ClientServer server;
     private final Engine engine;
     private final Clock clock;
     private final ArrayDeque<ClientRequest> pipelined = new ArrayDeque<>();
-    private final Decoder decoder = new Decoder();
+    private final BoundedRequestDecoder decoder = new BoundedRequestDecoder();
     /** Bytes that were read wait until requests before them have their answers. */
-    private boolean undecoded;
+    private boolean hasUndecodedBytes;
     private ChannelHandlerContext context;
     private long openedAt;
-    private long acceptableSince;
+    private long earliestConnectionArrival;
     /** Since when bytes may have waited that were not read while too many requests were pipelined. */
-    private long pausedSince = Long.MAX_VALUE;
-    private long bytesSince;
+    private long readPausedSince = Long.MAX_VALUE;
+    private long earliestArrivalOfLastBytes;
     private boolean idle = true;
-    private boolean served;
+    private boolean hasServedRequest;
     private boolean keepAlive;
-    private ClientRequest reading;
-    private boolean handling;
-    private boolean answering;
+    private ClientRequest partialRequest;
+    private boolean handlingPipelined;
+    private boolean responsePending;
     /** The last request that is heeded can't be read on; its refusal is the last answer. */
-    private HttpResponseStatus refusal;
-    private boolean ending;
-    private int buffered;
-    private Message message;
+    private HttpResponseStatus rejectionStatus;
+    private boolean closing;
+    private int bufferedBytes;
+    private Message pendingMessage;
     private Future<?> timer;
 
     ClientConnection(ClientServer server, Engine engine, Clock clock) {
@@ -73,44 +73,44 @@
 
     /** What the channel's pipeline is made of. */
     ChannelHandler[] handlers() {
-        return new ChannelHandler[] {new Watch(), decoder, new HttpResponseEncoder(), this};
+        return new ChannelHandler[] {new InboundByteHandler(), decoder, new HttpResponseEncoder(), this};
     }
 
-    boolean isAnswering() {
-        return answering;
+    boolean isResponsePending() {
+        return responsePending;
     }
 
     /** True where the last answer has been written. */
-    boolean isEnding() {
-        return ending;
+    boolean isClosing() {
+        return closing;
     }
 
     /** Closes in a while, unless a request comes first. */
-    void closeIn(long millis) {
-        startTimer(millis, this::endIdle);
+    void scheduleIdleClose(long millis) {
+        startTimer(millis, this::closeIfIdle);
     }
 
     /**
      * Ends a connection that rests. Guards against a request that has come since this pass has read, and, by an end to
      * sending alone, against one that is on its way: its client would see a reset, and has the right to an end.
      */
-    private void endIdle() {
+    private void closeIfIdle() {
         readNow();
-        if (ending) {
+        if (closing) {
             close();
         } else if (idle) {
-            ending = true;
-            server.moved();
-            linger();
+            closing = true;
+            server.noteConnectionChange();
+            startLingeringClose();
         }
     }
 
     /** Waits no longer for the rest of a request, or for one to come; one that is whole is answered. */
-    void turnAway() {
-        if (!ending && idle) {
-            endIdle();
-        } else if (!ending && !answering) {
-            refuse(HttpResponseStatus.SERVICE_UNAVAILABLE);
+    void rejectIncompleteRequest() {
+        if (!closing && idle) {
+            closeIfIdle();
+        } else if (!closing && !responsePending) {
+            rejectAndClose(HttpResponseStatus.SERVICE_UNAVAILABLE);
         }
     }
 
@@ -124,21 +124,21 @@
     }
 
     /** Notices the first byte of a request, and lets go by what comes after the last one that is heeded. */
-    private final class Watch extends ChannelInboundHandlerAdapter {
+    private final class InboundByteHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            if (refusal != null || ending) {
+            if (rejectionStatus != null || closing) {
                 ReferenceCountUtil.release(bytes);
                 return;
             }
-            bytesSince = unreadSince();
-            if (!answering) {
-                server.progressed(ClientConnection.this);
+            earliestArrivalOfLastBytes = earliestByteArrival();
+            if (!responsePending) {
+                server.onBytesReceived(ClientConnection.this);
             }
             if (idle) {
                 idle = false;
-                if (served) {
-                    startTimer(REQUEST_MS, ClientConnection.this::stalled);
+                if (hasServedRequest) {
+                    startTimer(REQUEST_TIMEOUT_MILLIS, ClientConnection.this::onRequestTimeout);
                 }
             }
             ctx.fireChannelRead(bytes);
@@ -147,27 +147,27 @@
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (ctx.channel().config().isAutoRead()) {
-                pausedSince = Long.MAX_VALUE;
+                readPausedSince = Long.MAX_VALUE;
             }
             ctx.fireChannelReadComplete();
         }
     }
 
     /** The earliest time at which the bytes that are read now can have come. */
-    private long unreadSince() {
-        long since = Math.min(pausedSince, server.unreadSince());
+    private long earliestByteArrival() {
+        long since = Math.min(readPausedSince, server.earliestByteArrival());
         // Guards against bytes that came with the connection and waited, with it, to be accepted.
-        return since <= openedAt ? Math.min(since, acceptableSince) : since;
+        return since <= openedAt ? Math.min(since, earliestConnectionArrival) : since;
     }
 
     /** Takes bytes apart only as far as there is room for requests; the others wait as they came. */
-    private final class Decoder extends HttpRequestDecoder {
+    private final class BoundedRequestDecoder extends HttpRequestDecoder {
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf bytes, List<Object> out) throws Exception {
-            if (pipelined.size() < MOST_PIPELINED) {
+            if (pipelined.size() < MAX_PIPELINED_REQUESTS) {
                 super.decode(ctx, bytes, out);
             } else {
-                undecoded = true;
+                hasUndecodedBytes = true;
             }
         }
 
@@ -192,23 +192,23 @@
     public void channelActive(ChannelHandlerContext ctx) {
         context = ctx;
         openedAt = clock.micros();
-        acceptableSince = server.acceptableSince();
-        startTimer(REQUEST_MS, this::stalled);
-        server.opened(this);
+        earliestConnectionArrival = server.earliestConnectionArrival();
+        startTimer(REQUEST_TIMEOUT_MILLIS, this::onRequestTimeout);
+        server.onConnectionOpened(this);
     }
 
     /** Guards against clients that connect and say nothing, or begin a request and never end it. */
-    private void stalled() {
+    private void onRequestTimeout() {
         timer = null;
         // Guards against refusing a request whose last byte has come since this pass has read.
         readNow();
-        if (timer != null || ending) {
+        if (timer != null || closing) {
             return;
         }
         if (idle) {
             close();
-        } else if (!answering && !hasMore()) {
-            refuse(HttpResponseStatus.REQUEST_TIMEOUT);
+        } else if (!responsePending && !hasUnhandledRequests()) {
+            rejectAndClose(HttpResponseStatus.REQUEST_TIMEOUT);
         }
     }
 
@@ -216,18 +216,18 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         stopTimer();
         pipelined.clear();
-        reading = null;
-        server.closed(this);
-        server.unbuffer(buffered);
-        buffered = 0;
+        partialRequest = null;
+        server.onConnectionClosed(this);
+        server.releaseBuffer(bufferedBytes);
+        bufferedBytes = 0;
         withdraw();
     }
 
     /** Guards against delivering what its client gave up and may hand in again under another id. */
     private void withdraw() {
-        if (message != null) {
-            engine.withdraw(message);
-            message = null;
+        if (pendingMessage != null) {
+            engine.withdraw(pendingMessage);
+            pendingMessage = null;
         }
     }
 
@@ -238,175 +238,175 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-        if (refusal != null || ending) {
+        if (rejectionStatus != null || closing) {
             return;
         }
         if (part instanceof HttpRequest head) {
-            reading = new ClientRequest(head);
-            HttpResponseStatus why = reading.refusal();
+            partialRequest = new ClientRequest(head);
+            HttpResponseStatus why = partialRequest.rejectionStatus();
             if (why != null) {
-                refuse(why);
+                rejectAndClose(why);
                 return;
             }
-            if (HttpUtil.is100ContinueExpected(head) && !answering && pipelined.isEmpty()) {
+            if (HttpUtil.is100ContinueExpected(head) && !responsePending && pipelined.isEmpty()) {
                 ctx.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                         HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
         }
-        if (part instanceof HttpContent content && reading != null) {
-            read(content);
+        if (part instanceof HttpContent content && partialRequest != null) {
+            readBody(content);
         }
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        handleNext();
+        handlePipelined();
         ctx.fireChannelReadComplete();
     }
 
-    private void read(HttpContent content) {
+    private void readBody(HttpContent content) {
         int bytes = content.content().readableBytes();
         if (content.decoderResult().isFailure()) {
-            refuse(HttpResponseStatus.BAD_REQUEST);
-        } else if (!reading.add(content.content())) {
-            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-        } else if (!server.buffer(bytes, reading.size())) {
+            rejectAndClose(HttpResponseStatus.BAD_REQUEST);
+        } else if (!partialRequest.appendBody(content.content())) {
+            rejectAndClose(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+        } else if (!server.tryReserveBuffer(bytes, partialRequest.bodySize())) {
             // Guards against half-read bodies that together take all the memory.
-            refuse(HttpResponseStatus.SERVICE_UNAVAILABLE);
+            rejectAndClose(HttpResponseStatus.SERVICE_UNAVAILABLE);
         } else {
-            buffered += bytes;
+            bufferedBytes += bytes;
             if (content instanceof LastHttpContent) {
-                reading.cameAt(bytesSince);
-                pipelined.add(reading);
-                reading = null;
-                server.completed(this);
-                readMore();
+                partialRequest.setEarliestArrival(earliestArrivalOfLastBytes);
+                pipelined.add(partialRequest);
+                partialRequest = null;
+                server.onRequestComplete(this);
+                updateAutoRead();
             }
         }
     }
 
     /** Guards against hundreds of requests at once: what is not read yet waits with its client. */
-    private void readMore() {
-        boolean full = undecoded || pipelined.size() >= MOST_PIPELINED;
+    private void updateAutoRead() {
+        boolean full = hasUndecodedBytes || pipelined.size() >= MAX_PIPELINED_REQUESTS;
         if (full) {
-            pausedSince = Math.min(pausedSince, server.unreadSince());
+            readPausedSince = Math.min(readPausedSince, server.earliestByteArrival());
         }
         context.channel().config().setAutoRead(!full);
     }
 
     /** Takes apart what waits, in a pass of its own: others come in between. */
-    private void decodeOn() {
-        if (undecoded && !ending && pipelined.size() < MOST_PIPELINED) {
-            undecoded = false;
+    private void resumeDecoding() {
+        if (hasUndecodedBytes && !closing && pipelined.size() < MAX_PIPELINED_REQUESTS) {
+            hasUndecodedBytes = false;
             try {
                 decoder.channelRead(context.pipeline().context(decoder), Unpooled.EMPTY_BUFFER);
             } catch (Exception e) {
                 exceptionCaught(context, e);
             }
-            readMore();
-            handleNext();
+            updateAutoRead();
+            handlePipelined();
         }
     }
 
     /** True where a request that was read, or may have been, has not been handled yet. */
-    private boolean hasMore() {
-        return undecoded || !pipelined.isEmpty();
+    private boolean hasUnhandledRequests() {
+        return hasUndecodedBytes || !pipelined.isEmpty();
     }
 
     /** Answers, after all that came before it, a request that can't be read on; nothing after it is heeded. */
-    private void refuse(HttpResponseStatus why) {
-        reading = null;
-        refusal = why;
-        handleNext();
+    private void rejectAndClose(HttpResponseStatus why) {
+        partialRequest = null;
+        rejectionStatus = why;
+        handlePipelined();
     }
 
     /**
      * Answers what can be answered of what has been taken apart. Guards, with the next part in a pass of its own, against
      * a client that sends hundreds of requests at once: all others, and every end that is due, would wait for them.
      */
-    private void handleNext() {
-        if (handling || ending || !hasMore() && refusal == null) {
+    private void handlePipelined() {
+        if (handlingPipelined || closing || !hasUnhandledRequests() && rejectionStatus == null) {
             return;
         }
-        handling = true;
-        while (!answering && !ending && !pipelined.isEmpty()) {
+        handlingPipelined = true;
+        while (!responsePending && !closing && !pipelined.isEmpty()) {
             ClientRequest next = pipelined.poll();
             handle(next);
-            buffered -= next.size();
-            server.unbuffer(next.size());
+            bufferedBytes -= next.bodySize();
+            server.releaseBuffer(next.bodySize());
         }
-        if (refusal != null && !answering && !ending && pipelined.isEmpty()) {
+        if (rejectionStatus != null && !responsePending && !closing && pipelined.isEmpty()) {
             keepAlive = false;
-            answer(refusal, 0);
+            sendResponse(rejectionStatus, 0);
         }
-        handling = false;
-        if (undecoded && !answering) {
-            context.executor().schedule(this::decodeOn, 0, TimeUnit.MILLISECONDS);
-        } else if (!ending) {
-            readMore();
+        handlingPipelined = false;
+        if (hasUndecodedBytes && !responsePending) {
+            context.executor().schedule(this::resumeDecoding, 0, TimeUnit.MILLISECONDS);
+        } else if (!closing) {
+            updateAutoRead();
         }
         context.flush();
     }
 
     private void handle(ClientRequest request) {
-        answering = true;
+        responsePending = true;
         HttpRequest head = request.head();
         keepAlive = HttpUtil.isKeepAlive(head);
         if (head.uri().equals("/api")) {
             if (head.method().equals(HttpMethod.POST)) {
-                takeOn(request);
+                acceptMessage(request);
             } else {
-                answer(HttpResponseStatus.METHOD_NOT_ALLOWED, 0);
+                sendResponse(HttpResponseStatus.METHOD_NOT_ALLOWED, 0);
             }
         } else if (head.uri().equals("/-/ready")) {
-            answer(engine.isReady() && server.isWelcoming() ? HttpResponseStatus.OK
+            sendResponse(engine.isReady() && server.isMarkedReady() ? HttpResponseStatus.OK
                     : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
         } else {
-            answer(HttpResponseStatus.NOT_FOUND, 0);
+            sendResponse(HttpResponseStatus.NOT_FOUND, 0);
         }
     }
 
-    private void takeOn(ClientRequest request) {
-        Message.Content content = request.content();
-        Policy.Terms terms = content == null ? null : engine.termsOf(content);
+    private void acceptMessage(ClientRequest request) {
+        Message.Content content = request.parseContent();
+        Policy.RequestTerms terms = content == null ? null : engine.termsFor(content);
         if (terms == null) {
-            answer(HttpResponseStatus.BAD_REQUEST, 0);
+            sendResponse(HttpResponseStatus.BAD_REQUEST, 0);
         } else {
-            message = engine.takeOn(content, terms, server.unreadSince(), this);
+            pendingMessage = engine.acceptMessage(content, terms, server.earliestByteArrival(), this);
         }
     }
 
     @Override
-    public void taken() {
-        answer(HttpResponseStatus.ACCEPTED, 0);
+    public void sendAccepted() {
+        sendResponse(HttpResponseStatus.ACCEPTED, 0);
     }
 
     @Override
-    public void refused(long retryIn) {
-        answer(HttpResponseStatus.SERVICE_UNAVAILABLE, retryIn);
+    public void sendRejected(long retryIn) {
+        sendResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, retryIn);
     }
 
     @Override
-    public void failed() {
-        answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, 0);
+    public void sendFailed() {
+        sendResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, 0);
     }
 
-    private void answer(HttpResponseStatus status, long retryIn) {
+    private void sendResponse(HttpResponseStatus status, long retryIn) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
         HttpUtil.setContentLength(response, 0);
-        ending = !keepAlive || server.isDraining() && !hasMore();
-        boolean last = ending;
+        closing = !keepAlive || server.isDraining() && !hasUnhandledRequests();
+        boolean last = closing;
         if (last) {
-            server.completed(this);
+            server.onRequestComplete(this);
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
         if (retryIn > 0) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryIn / 1e6));
         }
-        Message answered = message;
-        message = null;
-        answering = false;
+        Message answered = pendingMessage;
+        pendingMessage = null;
+        responsePending = false;
         context.write(response).addListener(written -> {
             if (!written.isSuccess() && answered != null) {
                 engine.withdraw(answered);
@@ -414,39 +414,39 @@
             if (!written.isSuccess()) {
                 context.close();
             } else if (last) {
-                linger();
+                startLingeringClose();
             }
         });
         if (!last) {
-            afterAnswer();
+            afterResponse();
         }
         // Those of one pass go together.
-        if (!handling) {
+        if (!handlingPipelined) {
             context.flush();
         }
     }
 
-    private void afterAnswer() {
+    private void afterResponse() {
         stopTimer();
-        served = true;
-        idle = !hasMore() && reading == null && refusal == null;
+        hasServedRequest = true;
+        idle = !hasUnhandledRequests() && partialRequest == null && rejectionStatus == null;
         if (idle) {
-            server.fellIdle(this);
-            startTimer(IDLE_MS, this::endIdle);
-        } else if (reading != null) {
-            server.progressed(this);
-            startTimer(REQUEST_MS, this::stalled);
+            server.onConnectionIdle(this);
+            startTimer(IDLE_TIMEOUT_MILLIS, this::closeIfIdle);
+        } else if (partialRequest != null) {
+            server.onBytesReceived(this);
+            startTimer(REQUEST_TIMEOUT_MILLIS, this::onRequestTimeout);
         }
-        handleNext();
+        handlePipelined();
     }
 
     /** Guards against an answer that a reset takes with it, as what the client still sends is not read. */
-    private void linger() {
+    private void startLingeringClose() {
         if (!context.channel().isActive()) {
             return;
         }
         ((DuplexChannel) context.channel()).shutdownOutput();
         context.channel().config().setAutoRead(true);
-        startTimer(LINGER_MS, this::close);
+        startTimer(LINGER_TIMEOUT_MILLIS, this::close);
     }
 }
--- a/src/main/java/drumdeal/relay/ClientRequest.java
+++ b/src/main/java/drumdeal/relay/ClientRequest.java
@@ -15,14 +15,14 @@
 
 /** A client's request as it comes in: whether it can be read at all, and the message that it holds. */
 final class ClientRequest {
-    private static final int MOST_BODY = 64 << 10;
-    private static final Pattern TOKEN = Pattern.compile("[\\x21-\\x7e]{1,200}");
-    private static final Pattern MILLIS = Pattern.compile("\\d{1,9}");
-    private static final Pattern CONSIGNEE = Pattern.compile("(?:.*[;,\\s])?dest=(\\d{1,9})(?:[;,\\s].*)?");
+    private static final int MAX_BODY_BYTES = 64 << 10;
+    private static final Pattern IDENTIFIER_PATTERN = Pattern.compile("[\\x21-\\x7e]{1,200}");
+    private static final Pattern MILLIS_PATTERN = Pattern.compile("\\d{1,9}");
+    private static final Pattern DESTINATION_PATTERN = Pattern.compile("(?:.*[;,\\s])?dest=(\\d{1,9})(?:[;,\\s].*)?");
 
     private final HttpRequest head;
-    private final ByteBuf body = Unpooled.buffer(0, MOST_BODY);
-    private long came;
+    private final ByteBuf body = Unpooled.buffer(0, MAX_BODY_BYTES);
+    private long earliestArrival;
 
     ClientRequest(HttpRequest head) {
         this.head = head;
@@ -33,7 +33,7 @@
     }
 
     /** Why the request can't be read, told from its head alone; null where nothing speaks against it. */
-    HttpResponseStatus refusal() {
+    HttpResponseStatus rejectionStatus() {
         if (head.decoderResult().isFailure()) {
             return HttpResponseStatus.BAD_REQUEST;
         }
@@ -49,12 +49,12 @@
             return HttpResponseStatus.BAD_REQUEST;
         }
         // The decoder has made sure that a length is a number.
-        return lengths.size() == 1 && Long.parseLong(lengths.get(0)) > MOST_BODY
+        return lengths.size() == 1 && Long.parseLong(lengths.get(0)) > MAX_BODY_BYTES
                 ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE : null;
     }
 
     /** Takes in a piece of the body; false where the body is larger than any may be. */
-    boolean add(ByteBuf piece) {
+    boolean appendBody(ByteBuf piece) {
         if (piece.readableBytes() > body.maxWritableBytes()) {
             return false;
         }
@@ -63,11 +63,11 @@
     }
 
     /** The request is whole; its last byte can have come no earlier than this. */
-    void cameAt(long time) {
-        came = time;
+    void setEarliestArrival(long time) {
+        earliestArrival = time;
     }
 
-    int size() {
+    int bodySize() {
         return body.readableBytes();
     }
 
@@ -75,19 +75,19 @@
      * The message that the request holds, or null where a header is missing or makes no sense. Its time counts from
      * when the client sent it, so that bytes that waited unread leave less of it.
      */
-    Message.Content content() {
+    Message.Content parseContent() {
         HttpHeaders headers = head.headers();
-        String callId = headers.get(ClientServer.CALL_ID, "");
+        String callId = headers.get(ClientServer.CALL_ID_HEADER, "");
         String requestClass = headers.get("X-Call-Class", "");
         String tenant = headers.get("X-Caller");
-        String key = headers.get(ClientServer.KEY);
-        String budget = headers.get(ClientServer.BUDGET, "");
-        Matcher consignee = CONSIGNEE.matcher(headers.get("X-Consignee", ""));
-        if (!TOKEN.matcher(callId).matches() || !MILLIS.matcher(budget).matches() || !consignee.matches()
-                || key != null && !TOKEN.matcher(key).matches()) {
+        String key = headers.get(ClientServer.IDEMPOTENCY_KEY_HEADER);
+        String budget = headers.get(ClientServer.BUDGET_HEADER, "");
+        Matcher consignee = DESTINATION_PATTERN.matcher(headers.get("X-Consignee", ""));
+        if (!IDENTIFIER_PATTERN.matcher(callId).matches() || !MILLIS_PATTERN.matcher(budget).matches() || !consignee.matches()
+                || key != null && !IDENTIFIER_PATTERN.matcher(key).matches()) {
             return null;
         }
-        long deadline = came + Long.parseLong(budget) * 1000;
+        long deadline = earliestArrival + Long.parseLong(budget) * 1000;
         return new Message.Content(callId, requestClass, tenant, key, deadline, Integer.parseInt(consignee.group(1)),
                 ByteBufUtil.getBytes(body));
     }
--- a/src/main/java/drumdeal/relay/ClientServer.java
+++ b/src/main/java/drumdeal/relay/ClientServer.java
@@ -20,110 +20,110 @@
 
 /** Listens for clients and keeps their connections, and what they have half sent, within bounds. */
 final class ClientServer {
-    static final String CALL_ID = "X-Call-Id";
-    static final String KEY = "Idempotency-Key";
-    static final String BUDGET = "X-Budget-Ms";
-    static final String LOAD_REPORT = "X-Load-Report";
-    private static final int BACKLOG = 1024;
+    static final String CALL_ID_HEADER = "X-Call-Id";
+    static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
+    static final String BUDGET_HEADER = "X-Budget-Ms";
+    static final String LOAD_REPORT_HEADER = "X-Load-Report";
+    private static final int MAX_LISTEN_BACKLOG = 1024;
     /** How long it takes to close the connections that are idle when clients are to leave. */
-    private static final long CLOSING_MS = 1000;
-    private static final int MOST_BUFFERED = 4 << 20;
-    private static final int ALWAYS_BUFFERED = 4 << 10;
+    private static final long IDLE_CLOSE_SPREAD_MILLIS = 1000;
+    private static final int MAX_BUFFERED_BYTES = 4 << 20;
+    private static final int MAX_SMALL_REQUEST_BYTES = 4 << 10;
 
     private final Engine engine;
     private final Clock clock;
     private final EventLoopMonitor loopMonitor;
-    private final int mostEver;
-    private int mostConnections;
+    private final int configuredMaxConnections;
+    private int maxConnections;
     private final Set<ClientConnection> connections = new HashSet<>();
     /** Connections without a whole request, by their last byte, and those idle since an answer; oldest first. */
-    private final Set<ClientConnection> unfinished = new LinkedHashSet<>();
-    private final Set<ClientConnection> idle = new LinkedHashSet<>();
-    private Channel listener;
+    private final Set<ClientConnection> connectionsAwaitingRequest = new LinkedHashSet<>();
+    private final Set<ClientConnection> idleConnections = new LinkedHashSet<>();
+    private Channel serverChannel;
     /** Since when connections may have waited to be accepted that the last pass left behind. */
-    private long leftSince = Long.MAX_VALUE;
-    private int buffered;
-    private boolean away;
+    private long unacceptedSince = Long.MAX_VALUE;
+    private int bufferedBytes;
+    private boolean markedUnready;
     private boolean draining;
     /** When a client last came or went. */
-    private long lastMoveAt = System.nanoTime();
+    private long lastConnectionChangeNanos = System.nanoTime();
 
     ClientServer(Engine engine, Clock clock, EventLoopMonitor loopMonitor, int mostConnections) {
         this.engine = engine;
         this.clock = clock;
         this.loopMonitor = loopMonitor;
-        mostEver = mostConnections;
-        this.mostConnections = mostConnections;
+        configuredMaxConnections = mostConnections;
+        this.maxConnections = mostConnections;
     }
 
     /** Listens for clients at an address. */
     ChannelFuture listen(EventLoop loop, InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, MAX_LISTEN_BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
                 // Lets the next version of the relay listen before this one has left.
                 .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
-                .handler(new Backlog()).childOption(ChannelOption.TCP_NODELAY, true)
+                .handler(new AcceptTracker()).childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
                         ch.pipeline().addLast(new ClientConnection(ClientServer.this, engine, clock).handlers());
                     }
                 }).bind(address);
-        listener = bound.channel();
+        serverChannel = bound.channel();
         return bound;
     }
 
     /** Guards against connections that wait for several passes, as one accepts only so many. */
-    private final class Backlog extends AcceptGuard {
-        private int accepted;
-        private long since;
+    private final class AcceptTracker extends AcceptErrorHandler {
+        private int acceptedInPass;
+        private long earliestArrivalInPass;
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object child) {
-            accepted++;
+            acceptedInPass++;
             ctx.fireChannelRead(child);
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            boolean all = accepted < ctx.channel().metadata().defaultMaxMessagesPerRead();
-            since = acceptableSince();
-            leftSince = all ? Long.MAX_VALUE : since;
-            accepted = 0;
+            boolean all = acceptedInPass < ctx.channel().metadata().defaultMaxMessagesPerRead();
+            earliestArrivalInPass = earliestConnectionArrival();
+            unacceptedSince = all ? Long.MAX_VALUE : earliestArrivalInPass;
+            acceptedInPass = 0;
             ctx.fireChannelReadComplete();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            leftSince = since;
+            unacceptedSince = earliestArrivalInPass;
             super.exceptionCaught(ctx, cause);
         }
     }
 
     /** The earliest time at which a connection that is accepted now can have come. */
-    long acceptableSince() {
-        return Math.min(leftSince, loopMonitor.unreadSince());
+    long earliestConnectionArrival() {
+        return Math.min(unacceptedSince, loopMonitor.earliestArrival());
     }
 
     /** The earliest time at which bytes that are read now can have come. */
-    long unreadSince() {
-        return loopMonitor.unreadSince();
+    long earliestByteArrival() {
+        return loopMonitor.earliestArrival();
     }
 
     /** Says from now on that clients had better go elsewhere; those that come are served as before. */
-    void sendAway() {
-        away = true;
+    void markUnready() {
+        markedUnready = true;
     }
 
     /** Takes clients again, whatever was said before. */
-    void welcome() {
-        away = false;
+    void markReady() {
+        markedUnready = false;
         draining = false;
     }
 
     /** True while this relay takes clients, so far as it is up to the operators. */
-    boolean isWelcoming() {
-        return !away && !draining;
+    boolean isMarkedReady() {
+        return !markedUnready && !draining;
     }
 
     /**
@@ -138,8 +138,8 @@
         // Guards against requests that cross the end of their connection: those that come get an answer that says so,
         // and what rests longest, and is used least, closes first.
         int place = 0;
-        for (ClientConnection connection : idle) {
-            connection.closeIn(CLOSING_MS * ++place / idle.size());
+        for (ClientConnection connection : idleConnections) {
+            connection.scheduleIdleClose(IDLE_CLOSE_SPREAD_MILLIS * ++place / idleConnections.size());
         }
     }
 
@@ -148,18 +148,18 @@
     }
 
     /** True where no client has a connection on which an answer may yet come. */
-    boolean isDeserted() {
-        return connections.stream().allMatch(ClientConnection::isEnding);
+    boolean hasNoActiveClients() {
+        return connections.stream().allMatch(ClientConnection::isClosing);
     }
 
     /** True where that has been so for a while, and nobody has come or gone in it. */
-    boolean isDeserted(long millis) {
-        return isDeserted() && System.nanoTime() - lastMoveAt >= TimeUnit.MILLISECONDS.toNanos(millis);
+    boolean hasNoActiveClients(long millis) {
+        return hasNoActiveClients() && System.nanoTime() - lastConnectionChangeNanos >= TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
     /** True while a request that was read whole has no answer yet. */
-    boolean isAnswering() {
-        return connections.stream().anyMatch(ClientConnection::isAnswering);
+    boolean hasPendingResponses() {
+        return connections.stream().anyMatch(ClientConnection::isResponsePending);
     }
 
     /** Stops listening once all that has come is accepted: what still waited would be reset. */
@@ -168,70 +168,70 @@
             return;
         }
         // Guards against a listener that has no address yet.
-        if (!listener.isActive()) {
-            listener.close();
+        if (!serverChannel.isActive()) {
+            serverChannel.close();
             return;
         }
-        ((AbstractNioChannel) listener).unsafe().read();
-        if (leftSince == Long.MAX_VALUE) {
-            listener.close();
+        ((AbstractNioChannel) serverChannel).unsafe().read();
+        if (unacceptedSince == Long.MAX_VALUE) {
+            serverChannel.close();
         } else {
-            listener.eventLoop().execute(this::stopListening);
+            serverChannel.eventLoop().execute(this::stopListening);
         }
     }
 
     /** True where nobody can come any more, and all who have are among the connections. */
     boolean hasStoppedListening() {
-        return listener == null || !listener.isOpen();
+        return serverChannel == null || !serverChannel.isOpen();
     }
 
     /** Reads what clients have sent so far, without waiting for the loop's next pass. */
     void readNow() {
-        List.copyOf(connections).stream().filter(connection -> !connection.isEnding())
+        List.copyOf(connections).stream().filter(connection -> !connection.isClosing())
                 .forEach(ClientConnection::readNow);
     }
 
     /** Refuses what is not whole yet, and ends what rests: the process leaves, and what would come meets a reset. */
-    void turnAway() {
-        List.copyOf(connections).forEach(ClientConnection::turnAway);
+    void rejectIncompleteRequests() {
+        List.copyOf(connections).forEach(ClientConnection::rejectIncompleteRequest);
     }
 
     /** So many descriptors are another process's for now; 0 where none are. */
-    void yield(int descriptors) {
-        mostConnections = Math.max(1, Math.max(mostEver / 4, mostEver - descriptors));
+    void reserveDescriptors(int descriptors) {
+        maxConnections = Math.max(1, Math.max(configuredMaxConnections / 4, configuredMaxConnections - descriptors));
     }
 
-    int connections() {
+    int connectionCount() {
         return connections.size();
     }
 
     /** Guards against clients that take every descriptor: those go first that have got on with nothing for longest. */
-    void opened(ClientConnection connection) {
-        if (connections.size() >= mostConnections) {
-            ClientConnection first = stalled(connection);
+    void onConnectionOpened(ClientConnection connection) {
+        if (connections.size() >= maxConnections) {
+            ClientConnection first = findLeastActive(connection);
             // Guards against a house that fills further: its end is told later, and others come in the same pass.
-            closed(first);
+            onConnectionClosed(first);
             first.close();
             if (first == connection) {
                 return;
             }
         }
         connections.add(connection);
-        unfinished.add(connection);
-        lastMoveAt = System.nanoTime();
+        connectionsAwaitingRequest.add(connection);
+        lastConnectionChangeNanos = System.nanoTime();
     }
 
-    private ClientConnection stalled(ClientConnection newest) {
-        for (ClientConnection first : List.copyOf(unfinished)) {
+    private ClientConnection findLeastActive(ClientConnection newest) {
+        for (ClientConnection first : List.copyOf(connectionsAwaitingRequest)) {
             // Guards against ending a client whose last byte has come and is not read yet.
             first.readNow();
-            if (!unfinished.isEmpty() && unfinished.iterator().next() == first) {
+            if (!connectionsAwaitingRequest.isEmpty() && connectionsAwaitingRequest.iterator().next() == first) {
                 return first;
             }
         }
-        for (ClientConnection first : List.copyOf(idle)) {
+        for (ClientConnection first : List.copyOf(idleConnections)) {
             first.readNow();
-            if (!idle.isEmpty() && idle.iterator().next() == first) {
+            if (!idleConnections.isEmpty() && idleConnections.iterator().next() == first) {
                 return first;
             }
         }
@@ -239,45 +239,45 @@
     }
 
     /** Bytes have come that make no whole request yet. */
-    void progressed(ClientConnection connection) {
-        idle.remove(connection);
-        unfinished.remove(connection);
-        unfinished.add(connection);
+    void onBytesReceived(ClientConnection connection) {
+        idleConnections.remove(connection);
+        connectionsAwaitingRequest.remove(connection);
+        connectionsAwaitingRequest.add(connection);
     }
 
     /** A request is whole, or nothing more of it is heeded. */
-    void completed(ClientConnection connection) {
-        unfinished.remove(connection);
+    void onRequestComplete(ClientConnection connection) {
+        connectionsAwaitingRequest.remove(connection);
     }
 
     /** A client has been told to go, and may come again. */
-    void moved() {
-        lastMoveAt = System.nanoTime();
+    void noteConnectionChange() {
+        lastConnectionChangeNanos = System.nanoTime();
     }
 
-    void fellIdle(ClientConnection connection) {
-        idle.add(connection);
+    void onConnectionIdle(ClientConnection connection) {
+        idleConnections.add(connection);
     }
 
-    void closed(ClientConnection connection) {
-        lastMoveAt = connections.remove(connection) ? System.nanoTime() : lastMoveAt;
-        unfinished.remove(connection);
-        idle.remove(connection);
+    void onConnectionClosed(ClientConnection connection) {
+        lastConnectionChangeNanos = connections.remove(connection) ? System.nanoTime() : lastConnectionChangeNanos;
+        connectionsAwaitingRequest.remove(connection);
+        idleConnections.remove(connection);
     }
 
     /**
      * Counts bytes that connections hold for requests; false where there is no room for more. Small requests
      * always have room.
      */
-    boolean buffer(int bytes, int request) {
-        if (buffered + bytes > MOST_BUFFERED && request > ALWAYS_BUFFERED) {
+    boolean tryReserveBuffer(int bytes, int request) {
+        if (bufferedBytes + bytes > MAX_BUFFERED_BYTES && request > MAX_SMALL_REQUEST_BYTES) {
             return false;
         }
-        buffered += bytes;
+        bufferedBytes += bytes;
         return true;
     }
 
-    void unbuffer(int bytes) {
-        buffered -= bytes;
+    void releaseBuffer(int bytes) {
+        bufferedBytes -= bytes;
     }
 }
--- a/src/main/java/drumdeal/relay/Clock.java
+++ b/src/main/java/drumdeal/relay/Clock.java
@@ -5,10 +5,10 @@
  * written to the journal still means something to the next process.
  */
 final class Clock {
-    private final long startWall = System.currentTimeMillis() * 1000;
+    private final long startWallMicros = System.currentTimeMillis() * 1000;
     private final long startNanos = System.nanoTime();
 
     long micros() {
-        return startWall + (System.nanoTime() - startNanos) / 1000;
+        return startWallMicros + (System.nanoTime() - startNanos) / 1000;
     }
 }
--- a/src/main/java/drumdeal/relay/Discovery.java
+++ b/src/main/java/drumdeal/relay/Discovery.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
-import drumdeal.Fields;
+import drumdeal.JsonReader;
 import drumdeal.Policy;
-import drumdeal.Policy.ListKind;
+import drumdeal.Policy.RouteListUpdateType;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.util.concurrent.Future;
@@ -30,78 +30,78 @@
      * and to be opened anew and answered, within that span of its first moment. Shorter ones, of a whole fleet, leave
      * discovery no time for news.
      */
-    static final long SHORTEST_WAIT_MS = 2000;
-    static final long LONGEST_WAIT_MS = 3500;
+    static final long MIN_WATCH_MILLIS = 2000;
+    static final long MAX_WATCH_MILLIS = 3500;
     /** How late the end of a watch may come: others that end in the same moment are answered before it. */
-    static final long LATE_MS = 1200;
+    static final long WATCH_RESPONSE_SLACK_MILLIS = 1200;
     /**
      * Discovery serves one call after another and ends by itself those that it can't get to: one that is given up
      * before leaves its work there behind, and asking anew each time never comes to an answer.
      */
-    private static final long PATIENCE_MS = 3000;
+    private static final long FETCH_TIMEOUT_MILLIS = 3000;
     /** After a failure, twice as long after each further one. */
-    private static final long RETRY_PAUSE_MS = 400;
-    private static final int MOST_DOUBLINGS = 4;
+    private static final long INITIAL_BACKOFF_MILLIS = 400;
+    private static final int MAX_BACKOFF_DOUBLINGS = 4;
     /**
      * From the start of a call that failed to the start of the next one, at most. Whatever is allowed after a failure, a
      * change counts as told 6 s after discovery had it and could be reached: that leaves a second for the answer.
      */
-    private static final long LONGEST_RETRY_ROUND_MS = 5000;
+    private static final long MAX_RETRY_INTERVAL_MILLIS = 5000;
     /** How long a watch waits for news after a failure: one that falls silent again must leave time for another. */
-    private static final long RETRY_WAIT_MS = 500;
+    private static final long RETRY_WATCH_MILLIS = 500;
     /** What the new address has to tell counts as told 4 s after the signal: there is time for several calls by then. */
-    private static final long MOVED_TOLD_MS = 4000;
-    private static final long LONGEST_MOVED_PAUSE_MS = 800;
+    private static final long ADDRESS_CHANGE_LIST_DUE_MILLIS = 4000;
+    private static final long MAX_ADDRESS_CHANGE_BACKOFF_MILLIS = 800;
     /** Guards against an agent that answers at once again and again; far below what ends a watch. */
-    private static final long BREATH_MS = 10;
+    private static final long MIN_PAUSE_MILLIS = 10;
     /**
      * Guards against a fleet that a change wakes and that all asks again at once; a release makes many changes. At most:
      * what is made right after an answer counts as told, and has to be heard within the grace of a drain.
      */
-    private static final long AFTER_NEWS_MS = 500;
+    private static final long MAX_PAUSE_AFTER_CHANGE_MILLIS = 500;
     /** What is known at the start stands until then; many relays may start together. */
-    private static final long FIRST_MS = 500;
+    private static final long REQUEST_JITTER_MILLIS = 500;
     /** What one call takes discovery at the least: whether a fleet is answered within a span goes by it. */
-    private static final long TURN_MS = 40;
+    private static final long MIN_SERVICE_TIME_MILLIS = 40;
     /** Between two fetches of the whole list: longer where answers take long, as others wait for theirs then. */
-    private static final long FETCH_PAUSE_MS = 3000;
-    private static final int PAUSES_AN_ANSWER = 15;
+    private static final long FETCH_PAUSE_MILLIS = 3000;
+    private static final int PAUSE_TO_RESPONSE_TIME_RATIO = 15;
     /** Of the span in which a relay has to ask, from one call to the next. */
-    private static final double LONGEST_ROUND = 0.95;
-    private static final long FIRST_AFTER_MOVE_MS = 1500;
+    private static final double MAX_FETCH_INTERVAL_RATIO = 0.95;
+    private static final long ADDRESS_CHANGE_JITTER_MILLIS = 1500;
 
     /** Takes in what discovery tells. */
     interface Listener {
-        void list(ListKind kind, long version, List<Target> targets);
+        void updateTargets(RouteListUpdateType kind, long version, List<Target> targets);
 
         /** What has to be told now, and is not heard, counts as told in a while, in microseconds. */
-        void listDue(long in);
+        void listStale(long in);
     }
 
     private final EventLoop loop;
     private final Agent agent;
     private final Listener listener;
-    private boolean watches;
-    private long afterNews;
+    private boolean watchEnabled;
+    private long maxPauseAfterChangeMillis;
     /** From one call to the next, where nobody watches. */
-    private long longestRound;
+    private long maxFetchIntervalMillis;
     /** The list of a new address is still to come. */
-    private boolean moved;
-    private Future<?> next;
-    private long nextAt;
-    private long askedAt;
+    private boolean awaitingNewAddressList;
+    private Future<?> nextRequest;
+    private long nextRequestAtNanos;
+    private long lastRequestAtNanos;
     private final SplittableRandom random;
     private final JsonFactory json = new JsonFactory();
     /** The version that the relay goes by; -1 where none is known. */
     private long version;
     /** Guards against an answer that can't be read, which asking from the same version would bring again. */
-    private boolean whole;
-    private boolean heard;
+    private boolean fullListNeeded;
+    private boolean listReceived;
     private int failures;
 
     /** Who is asked. */
     interface Agent {
-        void request(HttpMethod method, String path, String body, long timeoutMs, AgentClient.Answer answer);
+        void request(HttpMethod method, String path, String body, long timeoutMs, AgentClient.ResponseHandler answer);
 
         void moveTo(InetSocketAddress next);
     }
@@ -113,11 +113,11 @@
         version = knownVersion;
         random = new SplittableRandom(settings.seed());
         this.agent = agent;
-        tune(settings);
+        applySettings(settings);
     }
 
     void start() {
-        askIn(version < 0 ? 0 : upTo(watches ? FIRST_MS : longestRound * 4 / 5));
+        scheduleRequest(version < 0 ? 0 : randomUpTo(watchEnabled ? REQUEST_JITTER_MILLIS : maxFetchIntervalMillis * 4 / 5));
     }
 
     /**
@@ -125,125 +125,125 @@
      * soon whatever pause was running, but a whole fleet may have been told at once.
      */
     void moveTo(InetSocketAddress address, Policy.Settings settings) {
-        tune(settings);
+        applySettings(settings);
         version = -1;
         agent.moveTo(address);
         failures = 0;
-        moved = true;
-        listener.listDue(TimeUnit.MILLISECONDS.toMicros(MOVED_TOLD_MS));
-        askIn(upTo(watches ? 0 : FIRST_AFTER_MOVE_MS));
+        awaitingNewAddressList = true;
+        listener.listStale(TimeUnit.MILLISECONDS.toMicros(ADDRESS_CHANGE_LIST_DUE_MILLIS));
+        scheduleRequest(randomUpTo(watchEnabled ? 0 : ADDRESS_CHANGE_JITTER_MILLIS));
     }
 
     /** The list is wanted sooner than it would be asked for: what is known does not do for what is held. */
-    void askSoon() {
-        if (!next.isDone() && nextAt - loop.ticker().nanoTime() > TimeUnit.MILLISECONDS.toNanos(FIRST_MS)) {
-            askIn(upTo(FIRST_MS));
+    void requestSoon() {
+        if (!nextRequest.isDone() && nextRequestAtNanos - loop.ticker().nanoTime() > TimeUnit.MILLISECONDS.toNanos(REQUEST_JITTER_MILLIS)) {
+            scheduleRequest(randomUpTo(REQUEST_JITTER_MILLIS));
         }
     }
 
-    private void tune(Policy.Settings settings) {
-        long turns = settings.fleetSize() * TURN_MS;
-        long grace = TimeUnit.MICROSECONDS.toMillis(settings.rules().drainGrace());
-        watches = turns <= grace;
-        afterNews = Math.max(BREATH_MS, Math.min(AFTER_NEWS_MS, (grace - turns) / 2));
-        long mustAsk = TimeUnit.MICROSECONDS.toMillis(settings.rules().mustAskIn());
-        longestRound = mustAsk > 0 ? (long) (mustAsk * LONGEST_ROUND) : 2 * FETCH_PAUSE_MS;
+    private void applySettings(Policy.Settings settings) {
+        long turns = settings.fleetSize() * MIN_SERVICE_TIME_MILLIS;
+        long grace = TimeUnit.MICROSECONDS.toMillis(settings.rules().drainGraceMicros());
+        watchEnabled = turns <= grace;
+        maxPauseAfterChangeMillis = Math.max(MIN_PAUSE_MILLIS, Math.min(MAX_PAUSE_AFTER_CHANGE_MILLIS, (grace - turns) / 2));
+        long mustAsk = TimeUnit.MICROSECONDS.toMillis(settings.rules().maxDiscoveryIntervalMicros());
+        maxFetchIntervalMillis = mustAsk > 0 ? (long) (mustAsk * MAX_FETCH_INTERVAL_RATIO) : 2 * FETCH_PAUSE_MILLIS;
     }
 
-    private void ask() {
-        askedAt = loop.ticker().nanoTime();
-        if (version < 0 || whole || !watches) {
-            agent.request(HttpMethod.GET, "/api/targets", "", PATIENCE_MS, this::answered);
+    private void sendRequest() {
+        lastRequestAtNanos = loop.ticker().nanoTime();
+        if (version < 0 || fullListNeeded || !watchEnabled) {
+            agent.request(HttpMethod.GET, "/api/targets", "", FETCH_TIMEOUT_MILLIS, this::handleResponse);
         } else {
-            long wait = failures > 0 ? RETRY_WAIT_MS : SHORTEST_WAIT_MS + upTo(LONGEST_WAIT_MS - SHORTEST_WAIT_MS);
+            long wait = failures > 0 ? RETRY_WATCH_MILLIS : MIN_WATCH_MILLIS + randomUpTo(MAX_WATCH_MILLIS - MIN_WATCH_MILLIS);
             agent.request(HttpMethod.GET, "/api/targets?after=" + version + "&wait_ms=" + wait, "",
-                    wait + LATE_MS, this::answered);
+                    wait + WATCH_RESPONSE_SLACK_MILLIS, this::handleResponse);
         }
     }
 
-    private void answered(int status, String body) {
+    private void handleResponse(int status, String body) {
         long before = version;
-        boolean taken = status == 200 && take(body);
-        moved &= !taken;
+        boolean taken = status == 200 && applyResponse(body);
+        awaitingNewAddressList &= !taken;
         // Guards against what a call that fell silent has missed, which counts as told soon: the first one after it need
         // not wait, as discovery has not turned anything away.
-        long pause = !taken ? status == AgentClient.SILENT && failures == 0 ? BREATH_MS : retryPause()
-                : !watches ? fetchPause() : version > before ? spread(afterNews) : BREATH_MS;
-        tell(taken, status);
-        askIn(pause);
+        long pause = !taken ? status == AgentClient.TIMED_OUT && failures == 0 ? MIN_PAUSE_MILLIS : retryBackoffMillis()
+                : !watchEnabled ? fetchPause() : version > before ? jitter(maxPauseAfterChangeMillis) : MIN_PAUSE_MILLIS;
+        logFailureOrRecovery(taken, status);
+        scheduleRequest(pause);
     }
 
-    private void askIn(long ms) {
-        if (next != null) {
-            next.cancel(false);
+    private void scheduleRequest(long ms) {
+        if (nextRequest != null) {
+            nextRequest.cancel(false);
         }
-        next = loop.schedule(this::ask, ms, TimeUnit.MILLISECONDS);
-        nextAt = loop.ticker().nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
+        nextRequest = loop.schedule(this::sendRequest, ms, TimeUnit.MILLISECONDS);
+        nextRequestAtNanos = loop.ticker().nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
     }
 
-    private long retryPause() {
-        long growing = RETRY_PAUSE_MS << Math.min(failures, MOST_DOUBLINGS);
-        if (moved) {
-            return spread(Math.min(LONGEST_MOVED_PAUSE_MS, growing));
+    private long retryBackoffMillis() {
+        long growing = INITIAL_BACKOFF_MILLIS << Math.min(failures, MAX_BACKOFF_DOUBLINGS);
+        if (awaitingNewAddressList) {
+            return jitter(Math.min(MAX_ADDRESS_CHANGE_BACKOFF_MILLIS, growing));
         }
-        long longest = Math.max(BREATH_MS, LONGEST_RETRY_ROUND_MS - sinceAsked());
-        return Math.min(spread(growing), longest / 2 + upTo(longest / 2));
+        long longest = Math.max(MIN_PAUSE_MILLIS, MAX_RETRY_INTERVAL_MILLIS - millisSinceRequest());
+        return Math.min(jitter(growing), longest / 2 + randomUpTo(longest / 2));
     }
 
-    private long sinceAsked() {
-        return TimeUnit.NANOSECONDS.toMillis(loop.ticker().nanoTime() - askedAt);
+    private long millisSinceRequest() {
+        return TimeUnit.NANOSECONDS.toMillis(loop.ticker().nanoTime() - lastRequestAtNanos);
     }
 
     private long fetchPause() {
-        long took = sinceAsked();
-        long pause = Math.max(BREATH_MS, Math.min(longestRound - took,
-                Math.max(FETCH_PAUSE_MS, PAUSES_AN_ANSWER * took)));
-        return pause * 3 / 4 + upTo(pause / 4);
+        long took = millisSinceRequest();
+        long pause = Math.max(MIN_PAUSE_MILLIS, Math.min(maxFetchIntervalMillis - took,
+                Math.max(FETCH_PAUSE_MILLIS, PAUSE_TO_RESPONSE_TIME_RATIO * took)));
+        return pause * 3 / 4 + randomUpTo(pause / 4);
     }
 
-    private long upTo(long span) {
+    private long randomUpTo(long span) {
         return random.nextLong(span + 1);
     }
 
     /** From half a span to one and a half, so that a fleet that was told together does not ask together. */
-    private long spread(long span) {
-        return span / 2 + upTo(span);
+    private long jitter(long span) {
+        return span / 2 + randomUpTo(span);
     }
 
     /** Tells staff when the watch is lost and when it is back: the list is old meanwhile. */
-    private void tell(boolean taken, int status) {
+    private void logFailureOrRecovery(boolean taken, int status) {
         if (!taken && failures++ == 0) {
-            Log.line("discovery: no list, " + (status == AgentClient.SILENT ? "the call fell silent" : "status " + status));
+            Log.write("discovery: no list, " + (status == AgentClient.TIMED_OUT ? "the call fell silent" : "status " + status));
         } else if (taken && failures > 0) {
-            Log.line("discovery: a list again after " + failures + " calls in vain");
+            Log.write("discovery: a list again after " + failures + " calls in vain");
             failures = 0;
         }
     }
 
-    private boolean take(String body) {
+    private boolean applyResponse(String body) {
         try (JsonParser parser = json.createParser(body)) {
             parser.nextToken();
-            Fields list = Fields.ofObject("list", Fields.read(parser));
-            long rev = list.whole("rev");
-            boolean all = list.flag("all");
+            JsonReader list = JsonReader.ofObject("list", JsonReader.readValue(parser));
+            long rev = list.integer("rev");
+            boolean all = list.booleanOrFalse("all");
             List<Target> targets = Target.readAll(list);
             if (rev < version) {
-                Log.line("discovery: version " + rev + " is older than " + version + ", which stands");
+                Log.write("discovery: version " + rev + " is older than " + version + ", which stands");
                 return false;
             }
-            boolean news = rev > version || !heard;
+            boolean news = rev > version || !listReceived;
             version = rev;
-            whole = false;
+            fullListNeeded = false;
             // The first answer tells also where it brings nothing: what was known before is the list.
             if (news || !all && !targets.isEmpty()) {
-                Log.line("discovery: version " + rev + ", " + targets.size() + (all ? " entries" : " changes"));
-                listener.list(all ? ListKind.FULL : ListKind.CHANGES, rev, targets);
+                Log.write("discovery: version " + rev + ", " + targets.size() + (all ? " entries" : " changes"));
+                listener.updateTargets(all ? RouteListUpdateType.FULL : RouteListUpdateType.CHANGES, rev, targets);
             }
-            heard = true;
+            listReceived = true;
             return true;
         } catch (IOException | RuntimeException e) {
-            Log.line("discovery: an answer is passed over: " + e.getMessage());
-            whole = true;
+            Log.write("discovery: an answer is passed over: " + e.getMessage());
+            fullListNeeded = true;
             return false;
         }
     }
--- a/src/main/java/drumdeal/relay/EventLoopMonitor.java
+++ b/src/main/java/drumdeal/relay/EventLoopMonitor.java
@@ -10,38 +10,38 @@
  */
 final class EventLoopMonitor {
     /** Every message counts as up to two intervals older than it is. */
-    private static final long CHECK_INTERVAL_MS = 10;
+    private static final long CHECK_INTERVAL_MILLIS = 10;
     /** Most of what a notice, or a client's answer, has; staff are told, as every relay short of CPU looks faulty. */
-    private static final long LOGGED_STALL = 250_000;
+    private static final long MIN_LOGGED_STALL_MICROS = 250_000;
 
     private final EventLoop loop;
     private final Clock clock;
-    private long lastCheck;
-    private long previousCheck;
-    private final LongConsumer stalls;
+    private long lastCheckAt;
+    private long previousCheckAt;
+    private final LongConsumer onStall;
 
     /** Tells {@code stalls} how long the loop has stood still, in microseconds, each time. */
     EventLoopMonitor(EventLoop loop, Clock clock, LongConsumer stalls) {
         this.loop = loop;
         this.clock = clock;
-        this.stalls = stalls;
-        lastCheck = clock.micros();
-        previousCheck = lastCheck;
+        this.onStall = stalls;
+        lastCheckAt = clock.micros();
+        previousCheckAt = lastCheckAt;
     }
 
     /** Checks from now on; until then everything counts as having come at the start. */
-    void start() {
-        previousCheck = lastCheck;
-        lastCheck = clock.micros();
-        if (lastCheck - previousCheck > LOGGED_STALL) {
-            Log.line("the loop stood still for " + (lastCheck - previousCheck) / 1000 + " ms");
-            stalls.accept(lastCheck - previousCheck);
+    void checkPeriodically() {
+        previousCheckAt = lastCheckAt;
+        lastCheckAt = clock.micros();
+        if (lastCheckAt - previousCheckAt > MIN_LOGGED_STALL_MICROS) {
+            Log.write("the loop stood still for " + (lastCheckAt - previousCheckAt) / 1000 + " ms");
+            onStall.accept(lastCheckAt - previousCheckAt);
         }
-        loop.schedule(this::start, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::checkPeriodically, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** The earliest time at which what is read or accepted now can have come. */
-    long unreadSince() {
-        return previousCheck;
+    long earliestArrival() {
+        return previousCheckAt;
     }
 }
--- a/src/main/java/drumdeal/relay/Handover.java
+++ b/src/main/java/drumdeal/relay/Handover.java
@@ -24,77 +24,77 @@
 final class Handover {
     /** Another version of these frames is not understood; the newer process then waits for the older one's end. */
     static final int VERSION = 1;
-    private static final String SOCKET = "handover.sock";
-    private static final int LARGEST = 16 << 20;
+    private static final String SOCKET_NAME = "handover.sock";
+    private static final int MAX_FRAME_BYTES = 16 << 20;
 
     /** What a frame says; each is followed by what the comment names. */
-    enum Word {
+    enum FrameType {
         /** The newer asks to take over: version. */
-        ASK,
-        /** The older has stopped deciding: its {@link Standing}. */
-        STANDING,
+        TAKEOVER_REQUEST,
+        /** The older has stopped deciding: its {@link HandoverSnapshot}. */
+        SNAPSHOT,
         /** The newer listens for clients. */
         LISTENING,
         /** The older passes a message on: its number there, the journal's records of it. */
         MESSAGE,
         /** The newer has it in its journal: the number. */
-        KEPT,
+        MESSAGE_STORED,
         /** The older has let go of it: the number. */
-        YOURS,
+        MESSAGE_RELEASED,
         /** A call of the older has ended: route, result, wait, time taken, calls still out. */
         OUTCOME
     }
 
     /** What follows a frame's word. */
-    interface Payload {
+    interface PayloadWriter {
         void write(DataOutputStream out) throws IOException;
     }
 
     /** Takes in frames. */
-    interface Reader {
-        void read(Word word, DataInputStream in) throws IOException;
+    interface FrameHandler {
+        void onFrame(FrameType word, DataInputStream in) throws IOException;
     }
 
     private Handover() { }
 
-    static Path path(Path part) {
-        return part.resolve(SOCKET);
+    static Path socketPath(Path part) {
+        return part.resolve(SOCKET_NAME);
     }
 
-    static UnixDomainSocketAddress address(Path part) {
-        return UnixDomainSocketAddress.of(path(part));
+    static UnixDomainSocketAddress socketAddress(Path part) {
+        return UnixDomainSocketAddress.of(socketPath(part));
     }
 
     /** Reads frames from a channel; one that can't be read ends it. */
-    static void attach(Channel channel, Reader reader) {
-        channel.pipeline().addLast(new LengthFieldBasedFrameDecoder(LARGEST, 0, Integer.BYTES, 0, Integer.BYTES),
+    static void attachFrameHandler(Channel channel, FrameHandler reader) {
+        channel.pipeline().addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, Integer.BYTES, 0, Integer.BYTES),
                 new LengthFieldPrepender(Integer.BYTES), new SimpleChannelInboundHandler<ByteBuf>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws IOException {
                         DataInputStream in = new DataInputStream(new ByteArrayInputStream(ByteBufUtil.getBytes(frame)));
                         int word = in.readByte();
-                        if (word < 0 || word >= Word.values().length) {
+                        if (word < 0 || word >= FrameType.values().length) {
                             throw new IOException("unknown word " + word);
                         }
-                        reader.read(Word.values()[word], in);
+                        reader.onFrame(FrameType.values()[word], in);
                     }
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        Log.line("handover: " + cause);
+                        Log.write("handover: " + cause);
                         ctx.close();
                     }
                 });
     }
 
-    static void send(Channel channel, Word word, Payload payload) {
-        channel.writeAndFlush(Unpooled.wrappedBuffer(bytes(out -> {
+    static void send(Channel channel, FrameType word, PayloadWriter payload) {
+        channel.writeAndFlush(Unpooled.wrappedBuffer(toBytes(out -> {
             out.writeByte(word.ordinal());
             payload.write(out);
         })));
     }
 
-    static byte[] bytes(Payload payload) {
+    static byte[] toBytes(PayloadWriter payload) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             payload.write(out);
--- a/src/main/java/drumdeal/relay/HostCall.java
+++ b/src/main/java/drumdeal/relay/HostCall.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
-import drumdeal.Fields;
+import drumdeal.JsonReader;
 import drumdeal.Policy.LimitReport;
 import drumdeal.Policy.Result;
-import drumdeal.WireException;
+import drumdeal.JsonDataException;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -31,11 +31,11 @@
 /** One call to a host, for one message, for several, or a probe; it knows the table of outcomes. */
 final class HostCall {
     private static final JsonFactory JSON = new JsonFactory();
-    private static final int MOST_ANSWER = 64 << 10;
-    private static final int ITEM_OVERHEAD = 40;
-    private static final long LONGEST_WAIT_MS = 3_600_000;
+    private static final int MAX_RESPONSE_BYTES = 64 << 10;
+    private static final int ITEM_OVERHEAD_BYTES = 40;
+    private static final long MAX_RETRY_AFTER_MILLIS = 3_600_000;
 
-    private record Part(Message.Attempt attempt, long until, Future<?> timeout) { }
+    private record PendingAttempt(Message.Attempt attempt, long deadline, Future<?> timeoutTimer) { }
 
     private final HostClient client;
     private final HostClient.Host host;
@@ -46,38 +46,38 @@
      * hosts that drop what is out of time and answer all the same. It harms where messages with much and with little
      * time left share a slow call that would yet be answered: the former end with the latter.
      */
-    private final long until;
-    private final long leavesUntil;
+    private final long deadline;
+    private final long sendDeadline;
     private final String probePath;
     /** Attempts that nothing is known of yet. */
-    private final Map<Message.Attempt, Part> parts = new LinkedHashMap<>();
-    private final boolean several;
+    private final Map<Message.Attempt, PendingAttempt> pendingAttempts = new LinkedHashMap<>();
+    private final boolean batched;
     /** How many messages the request holds. */
-    private int messages;
-    private final Future<?> probeTimeout;
+    private int messageCount;
+    private final Future<?> probeTimer;
     private HostConnection connection;
     private boolean sent;
-    private boolean ended;
+    private boolean probeEnded;
     private int status;
-    private LimitReport report = LimitReport.NONE;
-    private long wait;
+    private LimitReport loadReport = LimitReport.NONE;
+    private long retryAfter;
     private boolean slotsTaken;
-    private final ByteBuf body = Unpooled.buffer(0, MOST_ANSWER);
+    private final ByteBuf responseBody = Unpooled.buffer(0, MAX_RESPONSE_BYTES);
 
     /** A call for one or more attempts. */
-    HostCall(HostClient client, HostClient.Host host, List<HostClient.Outgoing> outgoing) {
+    HostCall(HostClient client, HostClient.Host host, List<HostClient.OutgoingAttempt> outgoing) {
         this.client = client;
         this.host = host;
         startedAt = client.now();
         probePath = null;
-        probeTimeout = null;
-        several = outgoing.size() > 1;
-        leavesUntil = outgoing.stream().mapToLong(HostClient.Outgoing::until).min().orElse(Long.MAX_VALUE);
-        until = outgoing.stream().mapToLong(o -> o.attempt().message.content.deadline()).min().orElse(startedAt);
-        for (HostClient.Outgoing o : outgoing) {
-            long span = Math.min(o.timeout(), until - startedAt);
-            Future<?> timeout = client.after(span, () -> giveUp(o.attempt(), Result.TIMEOUT));
-            parts.put(o.attempt(), new Part(o.attempt(), startedAt + span, timeout));
+        probeTimer = null;
+        batched = outgoing.size() > 1;
+        sendDeadline = outgoing.stream().mapToLong(HostClient.OutgoingAttempt::sendDeadline).min().orElse(Long.MAX_VALUE);
+        deadline = outgoing.stream().mapToLong(o -> o.attempt().message.content.deadline()).min().orElse(startedAt);
+        for (HostClient.OutgoingAttempt o : outgoing) {
+            long span = Math.min(o.timeout(), deadline - startedAt);
+            Future<?> timeout = client.schedule(span, () -> abandonAttempt(o.attempt(), Result.TIMEOUT));
+            pendingAttempts.put(o.attempt(), new PendingAttempt(o.attempt(), startedAt + span, timeout));
         }
     }
 
@@ -86,18 +86,18 @@
         this.client = client;
         this.host = host;
         startedAt = client.now();
-        until = startedAt + timeout;
-        leavesUntil = until;
+        deadline = startedAt + timeout;
+        sendDeadline = deadline;
         probePath = path;
-        several = false;
-        probeTimeout = client.after(timeout, () -> abandon(Result.TIMEOUT));
+        batched = false;
+        probeTimer = client.schedule(timeout, () -> abandon(Result.TIMEOUT));
     }
 
     /** About how many bytes a message takes in a call for several. */
     static int encodedSize(Message message) {
         Message.Content content = message.content;
-        int key = content.key() == null ? 0 : content.key().length();
-        return (content.body().length + 2) / 3 * 4 + content.callId().length() + key + ITEM_OVERHEAD;
+        int key = content.idempotencyKey() == null ? 0 : content.idempotencyKey().length();
+        return (content.body().length + 2) / 3 * 4 + content.callId().length() + key + ITEM_OVERHEAD_BYTES;
     }
 
     HostClient.Host host() {
@@ -109,8 +109,8 @@
     }
 
     /** Until when it may begin. */
-    long leavesUntil() {
-        return leavesUntil;
+    long sendDeadline() {
+        return sendDeadline;
     }
 
     boolean isSent() {
@@ -118,42 +118,42 @@
     }
 
     /** True where nothing is known yet of some message of it. */
-    boolean isOpen() {
-        return !parts.isEmpty();
+    boolean hasPendingAttempts() {
+        return !pendingAttempts.isEmpty();
     }
 
-    void begin(HostConnection carrier) {
+    void assignConnection(HostConnection carrier) {
         connection = carrier;
     }
 
-    void sent() {
+    void markSent() {
         sent = true;
-        client.written(messages);
+        client.callWritten(messageCount);
     }
 
-    FullHttpRequest request() {
+    FullHttpRequest buildRequest() {
         if (probePath != null) {
-            return request(HttpMethod.GET, probePath, new byte[0]);
+            return buildRequest(HttpMethod.GET, probePath, new byte[0]);
         }
         FullHttpRequest request;
-        messages = several ? parts.size() : 1;
-        if (several) {
-            request = request(HttpMethod.POST, "/receive-many", manyBody());
+        messageCount = batched ? pendingAttempts.size() : 1;
+        if (batched) {
+            request = buildRequest(HttpMethod.POST, "/receive-many", buildBatchBody());
             request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
         } else {
-            Message.Content content = parts.keySet().iterator().next().message.content;
-            request = request(HttpMethod.POST, "/receive", content.body());
-            request.headers().set(ClientServer.CALL_ID, content.callId());
-            if (content.key() != null) {
-                request.headers().set(ClientServer.KEY, content.key());
+            Message.Content content = pendingAttempts.keySet().iterator().next().message.content;
+            request = buildRequest(HttpMethod.POST, "/receive", content.body());
+            request.headers().set(ClientServer.CALL_ID_HEADER, content.callId());
+            if (content.idempotencyKey() != null) {
+                request.headers().set(ClientServer.IDEMPOTENCY_KEY_HEADER, content.idempotencyKey());
             }
         }
-        long until = parts.values().stream().mapToLong(Part::until).max().orElse(0);
-        request.headers().set(ClientServer.BUDGET, Math.max(0, until - client.now()) / 1000);
+        long until = pendingAttempts.values().stream().mapToLong(PendingAttempt::deadline).max().orElse(0);
+        request.headers().set(ClientServer.BUDGET_HEADER, Math.max(0, until - client.now()) / 1000);
         return request;
     }
 
-    private FullHttpRequest request(HttpMethod method, String path, byte[] content) {
+    private FullHttpRequest buildRequest(HttpMethod method, String path, byte[] content) {
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path,
                 Unpooled.wrappedBuffer(content));
         request.headers().set(HttpHeaderNames.HOST, host.authority());
@@ -163,16 +163,16 @@
         return request;
     }
 
-    private byte[] manyBody() {
+    private byte[] buildBatchBody() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = JSON.createGenerator(bytes)) {
             json.writeStartArray();
-            for (Message.Attempt attempt : parts.keySet()) {
+            for (Message.Attempt attempt : pendingAttempts.keySet()) {
                 Message.Content content = attempt.message.content;
                 json.writeStartObject();
                 json.writeStringField("id", content.callId());
-                if (content.key() != null) {
-                    json.writeStringField("key", content.key());
+                if (content.idempotencyKey() != null) {
+                    json.writeStringField("key", content.idempotencyKey());
                 }
                 json.writeBinaryField("body", content.body());
                 json.writeEndObject();
@@ -185,67 +185,67 @@
     }
 
     /** The head of an answer; nothing of it counts before the answer is whole. */
-    void head(HttpResponse response) {
+    void receiveHead(HttpResponse response) {
         status = response.status().code();
-        report = report(response.headers().get(ClientServer.LOAD_REPORT));
-        wait = waitOf(response.headers().get("X-Come-Back-Ms"));
+        loadReport = loadReport(response.headers().get(ClientServer.LOAD_REPORT_HEADER));
+        retryAfter = parseRetryAfter(response.headers().get("X-Come-Back-Ms"));
         slotsTaken = "1".equals(response.headers().get("X-Line-Busy"));
     }
 
     /** The first line of an answer: that a single message is delivered holds, whatever follows. */
-    void firstLine(int code) {
-        if (probePath == null && !several && code == HttpResponseStatus.OK.code()) {
+    void receiveStatusLine(int code) {
+        if (probePath == null && !batched && code == HttpResponseStatus.OK.code()) {
             end(Result.OK, true);
         }
     }
 
     /** The answer can't be read or doesn't end; the host has run the call. */
-    void spoilt(int code) {
-        report = LimitReport.NONE;
-        wait = 0;
-        firstLine(code);
+    void endInvalidResponse(int code) {
+        loadReport = LimitReport.NONE;
+        retryAfter = 0;
+        receiveStatusLine(code);
         end(Result.ERROR);
     }
 
     /** Takes in a piece of the answer's body; false where it is larger than any answer may be. */
-    boolean body(ByteBuf piece) {
-        if (body.readableBytes() + piece.readableBytes() > MOST_ANSWER) {
+    boolean receiveBody(ByteBuf piece) {
+        if (responseBody.readableBytes() + piece.readableBytes() > MAX_RESPONSE_BYTES) {
             return false;
         }
-        body.writeBytes(piece);
+        responseBody.writeBytes(piece);
         return true;
     }
 
     /** The answer is whole. */
     void complete() {
-        if (wait > 0) {
-            client.toldToWait(host, wait);
+        if (retryAfter > 0) {
+            client.applyRetryAfter(host, retryAfter);
         }
         if (probePath != null) {
-            if (status == 200 && report.equals(LimitReport.NONE)) {
-                report = report(body.toString(StandardCharsets.UTF_8));
+            if (status == 200 && loadReport.equals(LimitReport.NONE)) {
+                loadReport = loadReport(responseBody.toString(StandardCharsets.UTF_8));
             }
-            probeEnd(status == 200 ? Result.OK : status == 503 || status == 429 ? Result.FULL : Result.ERROR);
-        } else if (several && isLate()) {
+            endProbe(status == 200 ? Result.OK : status == 503 || status == 429 ? Result.FULL : Result.ERROR);
+        } else if (batched && isPastDeadline()) {
             end(Result.TIMEOUT);
-        } else if (several && status == 200) {
-            eachOutcome();
+        } else if (batched && status == 200) {
+            applyBatchOutcomes();
             // Guards against an answer that leaves a message out: it may have run.
             end(Result.ERROR);
-        } else if (status == 503 && wait == 0 && !slotsTaken && connection.isTurnedAway()) {
-            client.crowded(host);
+        } else if (status == 503 && retryAfter == 0 && !slotsTaken && connection.isClosedAfterFirstResponse()) {
+            client.connectionRejected(host);
             end(Result.CROWDED);
         } else {
-            outcome(status);
+            applyOutcome(status);
         }
     }
 
     /** Guards against an answer that was read before the timers of the same pass ran. */
-    private boolean isLate() {
-        return client.now() >= until;
+    private boolean isPastDeadline() {
+        return client.now() >= deadline;
     }
 
-    private void outcome(int code) {
+    private void applyOutcome(int code) {
         switch (code) {
             case 200 -> end(Result.OK, true);
             case 410 -> end(Result.NOT_SENT, true);
@@ -256,32 +256,32 @@
         }
     }
 
-    private void eachOutcome() {
+    private void applyBatchOutcomes() {
         Map<String, String> states = new HashMap<>();
-        try (JsonParser parser = JSON.createParser(body.toString(StandardCharsets.UTF_8))) {
+        try (JsonParser parser = JSON.createParser(responseBody.toString(StandardCharsets.UTF_8))) {
             parser.nextToken();
-            if (!(Fields.read(parser) instanceof List<?> entries)) {
-                throw new WireException("no array");
+            if (!(JsonReader.readValue(parser) instanceof List<?> entries)) {
+                throw new JsonDataException("no array");
             }
             for (Object json : entries) {
-                Fields entry = Fields.ofObject("answer", json);
+                JsonReader entry = JsonReader.ofObject("answer", json);
                 if (states.put(entry.text("id"), entry.text("state")) != null) {
-                    throw new WireException("a message is named twice");
+                    throw new JsonDataException("a message is named twice");
                 }
             }
             if (parser.nextToken() != null) {
-                throw new WireException("more than an array");
+                throw new JsonDataException("more than an array");
             }
-        } catch (IOException | WireException e) {
-            Log.line("host " + host.route() + ": an answer can't be read: " + e.getMessage());
+        } catch (IOException | JsonDataException e) {
+            Log.write("host " + host.route() + ": an answer can't be read: " + e.getMessage());
             return;
         }
-        for (Message.Attempt attempt : new ArrayList<>(parts.keySet())) {
-            outcome(attempt, states.getOrDefault(attempt.message.content.callId(), "failed"));
+        for (Message.Attempt attempt : new ArrayList<>(pendingAttempts.keySet())) {
+            applyOutcome(attempt, states.getOrDefault(attempt.message.content.callId(), "failed"));
         }
     }
 
-    private void outcome(Message.Attempt attempt, String state) {
+    private void applyOutcome(Message.Attempt attempt, String state) {
         switch (state) {
             case "done" -> end(attempt, Result.OK, true);
             case "busy" -> end(attempt, Result.FULL, false);
@@ -292,7 +292,7 @@
     }
 
     /** The connection broke, or ended, before the answer was whole. */
-    void broken() {
+    void connectionLost() {
         client.closeIdle(host);
         end(sent ? Result.RESET : Result.CONNECT_FAILED);
     }
@@ -304,26 +304,26 @@
 
     private void end(Result result, boolean over) {
         if (probePath != null) {
-            probeEnd(result);
+            endProbe(result);
         }
-        for (Message.Attempt attempt : new ArrayList<>(parts.keySet())) {
+        for (Message.Attempt attempt : new ArrayList<>(pendingAttempts.keySet())) {
             end(attempt, result, over);
         }
     }
 
     private void end(Message.Attempt attempt, Result result, boolean over) {
-        Part part = parts.remove(attempt);
+        PendingAttempt part = pendingAttempts.remove(attempt);
         if (part != null) {
-            part.timeout().cancel(false);
-            client.ended(attempt, result, over, wait, report);
+            part.timeoutTimer().cancel(false);
+            client.attemptEnded(attempt, result, over, retryAfter, loadReport);
         }
     }
 
-    private void probeEnd(Result result) {
-        if (!ended) {
-            ended = true;
-            probeTimeout.cancel(false);
-            client.probed(this, result, wait, report);
+    private void endProbe(Result result) {
+        if (!probeEnded) {
+            probeEnded = true;
+            probeTimer.cancel(false);
+            client.probeEnded(this, result, retryAfter, loadReport);
         }
     }
 
@@ -331,15 +331,15 @@
      * Stops waiting for one attempt. With the last one the connection closes too: the host must not take a
      * call for out that nobody waits for.
      */
-    void giveUp(Message.Attempt attempt, Result result) {
+    void abandonAttempt(Message.Attempt attempt, Result result) {
         // Guards against giving up a call whose answer has come since this pass has read.
-        if (connection != null && parts.containsKey(attempt)) {
+        if (connection != null && pendingAttempts.containsKey(attempt)) {
             connection.readNow();
         }
-        if (!parts.containsKey(attempt)) {
+        if (!pendingAttempts.containsKey(attempt)) {
             return;
         }
-        if (parts.size() == 1) {
+        if (pendingAttempts.size() == 1) {
             abandon(result);
         } else {
             end(attempt, sent ? result : Result.CONNECT_FAILED, false);
@@ -353,23 +353,23 @@
             return;
         }
         if (sent) {
-            Log.line("no answer: " + host.route() + " for " + (client.now() - startedAt) / 1000 + " ms, "
+            Log.write("no answer: " + host.route() + " for " + (client.now() - startedAt) / 1000 + " ms, "
                     + connection.history());
         }
         end(sent ? result : Result.CONNECT_FAILED);
         client.closeIdle(host, startedAt);
-        connection.drop();
+        connection.abandonCall();
     }
 
-    private static long waitOf(String text) {
+    private static long parseRetryAfter(String text) {
         if (text == null || !text.matches("\\d{1,9}")) {
             return 0;
         }
-        return Math.min(LONGEST_WAIT_MS, Long.parseLong(text)) * 1000;
+        return Math.min(MAX_RETRY_AFTER_MILLIS, Long.parseLong(text)) * 1000;
     }
 
     /** Reads a load report such as {@code TEXT x0=0.4, x1=25}; what can't be read counts as not told. */
-    static LimitReport report(String text) {
+    static LimitReport loadReport(String text) {
         if (text == null) {
             return LimitReport.NONE;
         }
@@ -377,7 +377,7 @@
         double rate = Double.NaN;
         for (String pair : text.strip().replaceFirst("^TEXT\\s", "").split(",")) {
             String[] halves = pair.strip().split("=", 2);
-            double value = halves.length < 2 ? Double.NaN : number(halves[1]);
+            double value = halves.length < 2 ? Double.NaN : parseNumber(halves[1]);
             if (halves[0].equals("x0")) {
                 left = value;
             } else if (halves[0].equals("x1")) {
@@ -387,12 +387,12 @@
         return new LimitReport(left, rate);
     }
 
-    private static double number(String text) {
+    private static double parseNumber(String text) {
         try {
             double value = Double.parseDouble(text.strip());
             return Double.isFinite(value) && value >= 0 ? value : Double.NaN;
         } catch (NumberFormatException e) {
-            Log.line("a load report can't be read: " + text);
+            Log.write("a load report can't be read: " + text);
             return Double.NaN;
         }
     }
--- a/src/main/java/drumdeal/relay/HostClient.java
+++ b/src/main/java/drumdeal/relay/HostClient.java
@@ -2,7 +2,7 @@
 
 import drumdeal.Policy;
 import drumdeal.Policy.LimitReport;
-import drumdeal.Policy.ListKind;
+import drumdeal.Policy.RouteListUpdateType;
 import drumdeal.Policy.Result;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -27,57 +27,57 @@
  * out once, on one connection.
  */
 final class HostClient {
-    private static final long PROBE_TIMEOUT = 1_500_000;
-    private static final long SECOND = 1_000_000;
-    private static final int MOST_BODY = 64 << 10;
+    private static final long PROBE_TIMEOUT_MICROS = 1_500_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final int MAX_BODY_BYTES = 64 << 10;
     /** How long a host's connections count as scarce after it has turned a new one away. */
-    private static final long SCARCE = 10 * SECOND;
+    private static final long CONNECTION_LIMIT_HOLD_MICROS = 10 * MICROS_PER_SECOND;
     /** Long enough for the next call that waits already. */
-    private static final long SCARCE_REST = 25_000;
+    private static final long LIMITED_IDLE_TIMEOUT_MICROS = 25_000;
 
     /** Takes in what became of attempts and probes. */
-    interface Results {
+    interface ResultListener {
         /** An attempt ended; {@code over} means that nothing more is owed for its message. */
-        void ended(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report);
+        void attemptEnded(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report);
 
-        void probed(String route, Result result, long wait, long elapsed, LimitReport report);
+        void probeEnded(String route, Result result, long wait, long elapsed, LimitReport report);
 
         /** A call with so many messages has left whole. */
-        void written(int messages);
+        void callWritten(int messages);
     }
 
     /** An attempt to send, how long its answer is waited for, and until when it may leave. */
-    record Outgoing(Message.Attempt attempt, long timeout, long until) { }
+    record OutgoingAttempt(Message.Attempt attempt, long timeout, long sendDeadline) { }
 
     /** Until when a destination, or a route apart, has told this relay to wait. */
-    private static final class Wait {
+    private static final class RetryAfter {
         long until;
     }
 
     /** A listed host with its connections. */
     static final class Host {
         private Target target;
-        private final Wait wait;
-        private final int batch;
-        private final ArrayDeque<HostConnection> idle = new ArrayDeque<>();
+        private final RetryAfter retryAfter;
+        private final int maxBatchSize;
+        private final ArrayDeque<HostConnection> idleConnections = new ArrayDeque<>();
         /** Calls that wait for a connection, oldest first. */
         private final Set<HostCall> queue = new LinkedHashSet<>();
-        private int connecting;
+        private int pendingConnects;
         /** Connections there are, those that are being made too. */
-        private int open;
+        private int connectionCount;
         /** Until when its connections count as scarce. */
-        private long scarceUntil;
+        private long connectionLimitedUntil;
         /** How often its kept connections were found not worth trusting. */
-        private int breaks;
+        private int idleGeneration;
 
-        private Host(Target target, Wait wait, int batch) {
+        private Host(Target target, RetryAfter wait, int batch) {
             this.target = target;
-            this.wait = wait;
-            this.batch = batch;
+            this.retryAfter = wait;
+            this.maxBatchSize = batch;
         }
 
-        int breaks() {
-            return breaks;
+        int idleGeneration() {
+            return idleGeneration;
         }
 
         String route() {
@@ -93,7 +93,7 @@
         }
 
         /** True where another entry speaks of the same place, so that connections and waits go on. */
-        private boolean isAt(Target other) {
+        private boolean isSameEndpoint(Target other) {
             return target.address().equals(other.address())
                     && target.listed().destination() == other.listed().destination()
                     && target.listed().kind().equals(other.listed().kind());
@@ -106,69 +106,69 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final Results results;
+    private final ResultListener resultListener;
     private final Bootstrap bootstrap;
-    private boolean reports;
+    private boolean usesLoadReports;
     /** The longest that a connection is kept idle. */
-    private long idleSpan;
+    private long maxIdleMicros;
     private final IdleTimeout idleTimeout;
-    private final int mostEver;
-    private int mostConnections;
-    private boolean retiring;
-    private final Map<String, Policy.Kind> kinds = new HashMap<>();
+    private final int configuredMaxConnections;
+    private int maxConnections;
+    private boolean keepAliveDisabled;
+    private final Map<String, Policy.DestinationKind> kinds = new HashMap<>();
     private int fleetSize;
     /** Until when connections to hosts of a kind are let go for others. */
-    private final Map<String, Long> sharedUntil = new HashMap<>();
+    private final Map<String, Long> connectionLimitedUntilByKind = new HashMap<>();
     private final Map<String, Host> hosts = new HashMap<>();
-    private final Map<Integer, Wait> waits = new HashMap<>();
+    private final Map<Integer, RetryAfter> retryAfterByDestination = new HashMap<>();
     /** Idle connections of all hosts, the one that has stood longest first. */
-    private final Set<HostConnection> idle = new LinkedHashSet<>();
-    private final Map<Message.Attempt, HostCall> calls = new HashMap<>();
+    private final Set<HostConnection> idleConnections = new LinkedHashSet<>();
+    private final Map<Message.Attempt, HostCall> callsByAttempt = new HashMap<>();
     private final Set<HostConnection> connections = new HashSet<>();
     /** Hosts whose calls wait until another connection has closed, as there may be no more. */
-    private final Set<Host> crowdedOut = new LinkedHashSet<>();
+    private final Set<Host> hostsAwaitingDescriptors = new LinkedHashSet<>();
 
-    HostClient(EventLoop loop, Clock clock, Config config, Results results) {
+    HostClient(EventLoop loop, Clock clock, Config config, ResultListener results) {
         this.loop = loop;
         this.clock = clock;
-        this.results = results;
-        mostEver = config.hostConnections();
-        mostConnections = mostEver;
+        this.resultListener = results;
+        configuredMaxConnections = config.maxHostConnections();
+        maxConnections = configuredMaxConnections;
         bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true);
-        retune(config);
-        idleTimeout = new IdleTimeout(idleSpan, clock.micros());
+        applySettings(config);
+        idleTimeout = new IdleTimeout(maxIdleMicros, clock.micros());
     }
 
     /** Goes by other settings from now on. */
-    void retune(Config config) {
-        reports = config.reports();
+    void applySettings(Config config) {
+        usesLoadReports = config.usesLoadReports();
         // Guards against a call on a connection that the host is just closing: it would end as a reset.
-        idleSpan = Math.max(config.idleSpan() / 2, config.idleSpan() - SECOND);
+        maxIdleMicros = Math.max(config.connectionIdleTimeoutMicros() / 2, config.connectionIdleTimeoutMicros() - MICROS_PER_SECOND);
         kinds.clear();
         config.settings().kinds().forEach(kind -> kinds.put(kind.name(), kind));
         fleetSize = config.settings().fleetSize();
-        long connectTimeout = config.settings().limits().connectTimeout();
+        long connectTimeout = config.settings().limits().connectTimeoutMicros();
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeout / 1000));
     }
 
     /** Takes in a list of hosts; what drains or is gone is sent nothing new from now on. */
-    void list(ListKind kind, List<Target> targets) {
+    void updateTargets(RouteListUpdateType kind, List<Target> targets) {
         Set<String> named = new HashSet<>();
         for (Target target : targets) {
             named.add(target.listed().route());
-            replace(target);
+            updateHost(target);
         }
-        if (kind != ListKind.CHANGES) {
+        if (kind != RouteListUpdateType.CHANGES) {
             hosts.values().stream().filter(host -> !named.contains(host.route())).toList()
                     .forEach(this::remove);
         }
     }
 
-    private void replace(Target target) {
+    private void updateHost(Target target) {
         Host old = hosts.get(target.listed().route());
         boolean removed = target.listed().availability() == Policy.Availability.REMOVED;
-        if (old != null && !removed && old.isAt(target)) {
+        if (old != null && !removed && old.isSameEndpoint(target)) {
             old.target = target;
             if (!old.isListed()) {
                 stopSending(old);
@@ -179,11 +179,11 @@
             remove(old);
         }
         if (!removed) {
-            Policy.Kind kind = kinds.get(target.listed().kind());
-            boolean apart = kind != null && kind.routesApart();
-            Wait wait = apart ? old == null ? new Wait() : old.wait
-                    : waits.computeIfAbsent(target.listed().destination(), d -> new Wait());
-            hosts.put(target.listed().route(), new Host(target, wait, kind == null ? 1 : kind.batch()));
+            Policy.DestinationKind kind = kinds.get(target.listed().kind());
+            boolean apart = kind != null && kind.hasPerRouteLimits();
+            RetryAfter wait = apart ? old == null ? new RetryAfter() : old.retryAfter
+                    : retryAfterByDestination.computeIfAbsent(target.listed().destination(), d -> new RetryAfter());
+            hosts.put(target.listed().route(), new Host(target, wait, kind == null ? 1 : kind.maxBatchSize()));
         }
     }
 
@@ -202,18 +202,18 @@
     }
 
     /** Sends what one round has for one route, in as few calls as its kind allows. */
-    void send(String route, List<Outgoing> outgoing) {
+    void send(String route, List<OutgoingAttempt> outgoing) {
         Host host = hosts.get(route);
         if (host == null || !host.isListed()) {
-            outgoing.forEach(o -> results.ended(o.attempt(), Result.NOT_SENT, false, 0, LimitReport.NONE));
+            outgoing.forEach(o -> resultListener.attemptEnded(o.attempt(), Result.NOT_SENT, false, 0, LimitReport.NONE));
             return;
         }
-        List<Outgoing> batch = new ArrayList<>();
+        List<OutgoingAttempt> batch = new ArrayList<>();
         int bytes = 0;
-        for (Outgoing next : outgoing) {
+        for (OutgoingAttempt next : outgoing) {
             int size = HostCall.encodedSize(next.attempt().message);
             // Guards against a call with a larger body than a host takes.
-            if (!batch.isEmpty() && (batch.size() >= host.batch || bytes + size > MOST_BODY)) {
+            if (!batch.isEmpty() && (batch.size() >= host.maxBatchSize || bytes + size > MAX_BODY_BYTES)) {
                 startBatch(host, batch);
                 batch = new ArrayList<>();
                 bytes = 0;
@@ -224,19 +224,19 @@
         startBatch(host, batch);
     }
 
-    private void startBatch(Host host, List<Outgoing> batch) {
+    private void startBatch(Host host, List<OutgoingAttempt> batch) {
         HostCall call = new HostCall(this, host, batch);
-        batch.forEach(o -> calls.put(o.attempt(), call));
+        batch.forEach(o -> callsByAttempt.put(o.attempt(), call));
         start(call);
     }
 
     void probe(String route) {
         Host host = hosts.get(route);
         if (host == null || !host.isListed()) {
-            results.probed(route, Result.NOT_SENT, 0, 0, LimitReport.NONE);
+            resultListener.probeEnded(route, Result.NOT_SENT, 0, 0, LimitReport.NONE);
             return;
         }
-        start(new HostCall(this, host, reports ? "/-/load" : "/-/healthy", PROBE_TIMEOUT));
+        start(new HostCall(this, host, usesLoadReports ? "/-/load" : "/-/healthy", PROBE_TIMEOUT_MICROS));
     }
 
     void closeIdle(String route) {
@@ -256,17 +256,17 @@
 
     /** As above, but for connections that have answered since a time: they did not die with what was sent then. */
     void closeIdle(Host host, long provenSince) {
-        host.breaks++;
-        List.copyOf(host.idle).stream().filter(connection -> connection.restsSince() < provenSince)
+        host.idleGeneration++;
+        List.copyOf(host.idleConnections).stream().filter(connection -> connection.idleSince() < provenSince)
                 .forEach(HostConnection::close);
     }
 
     private void start(HostCall call) {
         Host host = call.host();
-        for (HostConnection last = host.idle.pollLast(); last != null; last = host.idle.pollLast()) {
-            idle.remove(last);
+        for (HostConnection last = host.idleConnections.pollLast(); last != null; last = host.idleConnections.pollLast()) {
+            idleConnections.remove(last);
             if (last.isUsable()) {
-                begin(last, call);
+                dispatch(last, call);
                 return;
             }
         }
@@ -276,19 +276,19 @@
 
     private void connect(Host host) {
         // Guards against connections beyond those that the host takes: they are turned away, and their calls with them.
-        if (isScarce(host) && host.open > 0) {
+        if (isConnectionLimited(host) && host.connectionCount > 0) {
             return;
         }
-        if (connections.size() >= mostConnections && !idle.isEmpty()) {
-            idle.iterator().next().close();
+        if (connections.size() >= maxConnections && !idleConnections.isEmpty()) {
+            idleConnections.iterator().next().close();
         }
         // Guards against more descriptors than there are, where nothing is idle: the calls wait.
-        if (connections.size() >= mostConnections) {
-            crowdedOut.add(host);
+        if (connections.size() >= maxConnections) {
+            hostsAwaitingDescriptors.add(host);
             return;
         }
-        host.connecting++;
-        host.open++;
+        host.pendingConnects++;
+        host.connectionCount++;
         HostConnection connection = new HostConnection(this, host);
         ChannelFuture future = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
             @Override
@@ -297,40 +297,40 @@
             }
         }).connect(host.target.address());
         connections.add(connection);
-        future.channel().closeFuture().addListener(closed -> gone(connection));
+        future.channel().closeFuture().addListener(closed -> connectionClosed(connection));
         future.addListener(connected -> {
             if (connected.isSuccess()) {
-                host.connecting--;
-                free(connection);
+                host.pendingConnects--;
+                release(connection);
             } else {
                 // Guards against a socket that could not even be opened: its failure is told on another thread.
-                loop.execute(() -> notConnected(connection));
+                loop.execute(() -> connectFailed(connection));
             }
         });
     }
 
-    private void notConnected(HostConnection connection) {
+    private void connectFailed(HostConnection connection) {
         Host host = connection.host();
-        host.connecting--;
-        if (host.queue.size() > host.connecting) {
+        host.pendingConnects--;
+        if (host.queue.size() > host.pendingConnects) {
             HostCall oldest = host.queue.iterator().next();
             host.queue.remove(oldest);
             oldest.end(Result.CONNECT_FAILED);
         }
-        gone(connection);
+        connectionClosed(connection);
     }
 
     /** One connection less: those that wait for room come next. */
-    private void gone(HostConnection connection) {
+    private void connectionClosed(HostConnection connection) {
         if (connections.remove(connection)) {
             Host own = connection.host();
-            own.open--;
-            if (!own.queue.isEmpty() && own.open == 0) {
+            own.connectionCount--;
+            if (!own.queue.isEmpty() && own.connectionCount == 0) {
                 connect(own);
             }
-            for (Host host : List.copyOf(crowdedOut)) {
-                crowdedOut.remove(host);
-                for (int missing = host.queue.size() - host.connecting; missing > 0; missing--) {
+            for (Host host : List.copyOf(hostsAwaitingDescriptors)) {
+                hostsAwaitingDescriptors.remove(host);
+                for (int missing = host.queue.size() - host.pendingConnects; missing > 0; missing--) {
                     connect(host);
                 }
             }
@@ -338,18 +338,18 @@
     }
 
     /** A connection can carry a call: one that waits for it, or a later one. */
-    void free(HostConnection connection) {
+    void release(HostConnection connection) {
         Host host = connection.host();
         if (!host.queue.isEmpty()) {
             HostCall call = host.queue.iterator().next();
             host.queue.remove(call);
-            begin(connection, call);
-        } else if (retiring || hosts.get(host.route()) != host || !host.isListed() || !crowdedOut.isEmpty()) {
+            dispatch(connection, call);
+        } else if (keepAliveDisabled || hosts.get(host.route()) != host || !host.isListed() || !hostsAwaitingDescriptors.isEmpty()) {
             connection.close();
         } else {
-            host.idle.addLast(connection);
-            idle.add(connection);
-            connection.retireAfter(isShared(host) ? Math.min(SCARCE_REST, keepFor()) : keepFor());
+            host.idleConnections.addLast(connection);
+            idleConnections.add(connection);
+            connection.closeAfter(isKindConnectionLimited(host) ? Math.min(LIMITED_IDLE_TIMEOUT_MICROS, currentIdleTimeout()) : currentIdleTimeout());
         }
     }
 
@@ -360,55 +360,55 @@
      * speaks for all of its kind, and for as long as it takes until each relay has been told once. It harms where a
      * kind's hosts are crowded for once: calls to them go on new connections for a while.
      */
-    void crowded(Host host) {
+    void connectionRejected(Host host) {
         long now = clock.micros();
-        host.scarceUntil = now + SCARCE;
-        if (sharedUntil.put(host.kind(), now + SCARCE * fleetSize) == null) {
-            Log.line("connections to hosts of kind " + host.kind() + " are scarce and let go for others");
+        host.connectionLimitedUntil = now + CONNECTION_LIMIT_HOLD_MICROS;
+        if (connectionLimitedUntilByKind.put(host.kind(), now + CONNECTION_LIMIT_HOLD_MICROS * fleetSize) == null) {
+            Log.write("connections to hosts of kind " + host.kind() + " are scarce and let go for others");
         }
-        idle.stream().filter(connection -> connection.host().kind().equals(host.kind()))
-                .forEach(connection -> connection.retireAfter(SCARCE_REST));
+        idleConnections.stream().filter(connection -> connection.host().kind().equals(host.kind()))
+                .forEach(connection -> connection.closeAfter(LIMITED_IDLE_TIMEOUT_MICROS));
     }
 
-    private boolean isShared(Host host) {
-        return clock.micros() < sharedUntil.getOrDefault(host.kind(), 0L);
+    private boolean isKindConnectionLimited(Host host) {
+        return clock.micros() < connectionLimitedUntilByKind.getOrDefault(host.kind(), 0L);
     }
 
-    private boolean isScarce(Host host) {
-        return clock.micros() < host.scarceUntil;
+    private boolean isConnectionLimited(Host host) {
+        return clock.micros() < host.connectionLimitedUntil;
     }
 
-    private long keepFor() {
-        return idleTimeout.keepFor(idleSpan, clock.micros());
+    private long currentIdleTimeout() {
+        return idleTimeout.currentTimeout(maxIdleMicros, clock.micros());
     }
 
     /** A call was answered whose connection had rested before. */
-    void heldAfterRest(long rest) {
-        idleTimeout.held(rest, clock.micros());
+    void idleConnectionSurvived(long rest) {
+        idleTimeout.survived(rest, clock.micros());
     }
 
     /** A connection broke under its call, after a rest. */
-    void brokeAfterRest(long rest) {
-        if (idleTimeout.broke(rest, idleSpan, clock.micros())) {
-            long kept = keepFor();
-            Log.line("a connection broke after " + rest / 1000 + " ms idle, they are kept for " + kept / 1000 + " ms");
-            idle.stream().filter(connection -> connection.rested() > kept).toList().forEach(HostConnection::close);
+    void idleConnectionBroke(long rest) {
+        if (idleTimeout.broke(rest, maxIdleMicros, clock.micros())) {
+            long kept = currentIdleTimeout();
+            Log.write("a connection broke after " + rest / 1000 + " ms idle, they are kept for " + kept / 1000 + " ms");
+            idleConnections.stream().filter(connection -> connection.idleTime() > kept).toList().forEach(HostConnection::close);
         }
     }
 
     /** Forgets a connection that has closed. */
-    void closed(HostConnection connection) {
-        connection.host().idle.remove(connection);
-        idle.remove(connection);
+    void removeIdle(HostConnection connection) {
+        connection.host().idleConnections.remove(connection);
+        idleConnections.remove(connection);
     }
 
-    private void begin(HostConnection connection, HostCall call) {
+    private void dispatch(HostConnection connection, HostCall call) {
         // Guards against a call that was connecting while its destination told this relay to wait, or its time passed.
-        if (clock.micros() < call.host().wait.until || clock.micros() >= call.leavesUntil()) {
+        if (clock.micros() < call.host().retryAfter.until || clock.micros() >= call.sendDeadline()) {
             call.end(Result.NOT_SENT);
-            free(connection);
+            release(connection);
         } else {
-            connection.carry(call);
+            connection.send(call);
         }
     }
 
@@ -416,50 +416,50 @@
     Result unqueue(HostCall call) {
         Host host = call.host();
         host.queue.remove(call);
-        return host.connecting > 0 ? Result.CONNECT_FAILED : Result.NOT_SENT;
+        return host.pendingConnects > 0 ? Result.CONNECT_FAILED : Result.NOT_SENT;
     }
 
-    void toldToWait(Host host, long span) {
-        host.wait.until = Math.max(host.wait.until, clock.micros() + span);
+    void applyRetryAfter(Host host, long span) {
+        host.retryAfter.until = Math.max(host.retryAfter.until, clock.micros() + span);
     }
 
     /** Gives up one attempt. */
     void cancel(Message.Attempt attempt) {
-        HostCall call = calls.get(attempt);
+        HostCall call = callsByAttempt.get(attempt);
         if (call != null) {
-            call.giveUp(attempt, Result.CANCELLED);
+            call.abandonAttempt(attempt, Result.CANCELLED);
         }
     }
 
-    void ended(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report) {
-        calls.remove(attempt);
-        results.ended(attempt, result, over, wait, report);
+    void attemptEnded(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report) {
+        callsByAttempt.remove(attempt);
+        resultListener.attemptEnded(attempt, result, over, wait, report);
     }
 
-    void probed(HostCall call, Result result, long wait, LimitReport report) {
-        results.probed(call.host().route(), result, wait, clock.micros() - call.startedAt(), report);
+    void probeEnded(HostCall call, Result result, long wait, LimitReport report) {
+        resultListener.probeEnded(call.host().route(), result, wait, clock.micros() - call.startedAt(), report);
     }
 
-    void written(int messages) {
-        results.written(messages);
+    void callWritten(int messages) {
+        resultListener.callWritten(messages);
     }
 
     /** Keeps no connection from now on: another process of this relay has its own. */
-    void retire() {
-        retiring = true;
-        List.copyOf(idle).forEach(HostConnection::close);
+    void disableKeepAlive() {
+        keepAliveDisabled = true;
+        List.copyOf(idleConnections).forEach(HostConnection::close);
     }
 
     /** So many descriptors are another process's for now; 0 where none are. */
-    void yield(int descriptors) {
-        mostConnections = Math.max(1, Math.max(mostEver / 4, mostEver - descriptors));
+    void reserveDescriptors(int descriptors) {
+        maxConnections = Math.max(1, Math.max(configuredMaxConnections / 4, configuredMaxConnections - descriptors));
     }
 
     /** A wait that another process of this relay was told. */
-    void toldToWait(String route, long span) {
+    void applyRetryAfter(String route, long span) {
         Host host = hosts.get(route);
         if (host != null) {
-            toldToWait(host, span);
+            applyRetryAfter(host, span);
         }
     }
 
@@ -468,8 +468,8 @@
     }
 
     /** How many calls are out; several messages may share one. */
-    int callsOut() {
-        return (int) calls.values().stream().distinct().count();
+    int callsInFlight() {
+        return (int) callsByAttempt.values().stream().distinct().count();
     }
 
     int connections() {
@@ -477,22 +477,22 @@
     }
 
     /** How many endpoints are in the list, those that drain too. */
-    int listed() {
+    int hostCount() {
         return hosts.size();
     }
 
     /** How the connections stand, for staff. */
-    String figures() {
+    String connectionSummary() {
         int queued = hosts.values().stream().mapToInt(host -> host.queue.size()).sum();
-        return "connections " + connections.size() + " of " + mostConnections + " (" + idle.size() + " idle), "
-                + queued + " calls without one, " + crowdedOut.size() + " hosts crowded out";
+        return "connections " + connections.size() + " of " + maxConnections + " (" + idleConnections.size() + " idle), "
+                + queued + " calls without one, " + hostsAwaitingDescriptors.size() + " hosts crowded out";
     }
 
     long now() {
         return clock.micros();
     }
 
-    Future<?> after(long micros, Runnable task) {
+    Future<?> schedule(long micros, Runnable task) {
         return loop.schedule(task, micros, TimeUnit.MICROSECONDS);
     }
 }
--- a/src/main/java/drumdeal/relay/HostConnection.java
+++ b/src/main/java/drumdeal/relay/HostConnection.java
@@ -22,23 +22,23 @@
  */
 final class HostConnection extends SimpleChannelInboundHandler<HttpObject> {
     /** Guards against an answer that begins and never ends: hosts write theirs in one go. */
-    private static final long LONGEST_ANSWER = 500_000;
+    private static final long MAX_RESPONSE_MICROS = 500_000;
     /** Guards against a second copy, or noise, right behind an answer: the next call's would be mixed up with it. */
-    private static final long REST = 2_000;
+    private static final long REUSE_DELAY_MICROS = 2_000;
 
     private final HostClient client;
     private final HostClient.Host host;
-    private final AnswerDecoder decoder = new AnswerDecoder();
+    private final EarlyStatusDecoder decoder = new EarlyStatusDecoder();
     private ChannelHandlerContext context;
     private HostCall call;
     private boolean reusable;
     private boolean informational;
-    private boolean answered;
+    private boolean responseComplete;
     /** Since when the connection is idle, and how long it was so before the call that it carries; 0 for its first. */
-    private long restsSince;
-    private long rest;
+    private long idleSince;
+    private long idleBeforeCall;
     private Future<?> timer;
-    private int carried;
+    private int callCount;
 
     HostConnection(HostClient client, HostClient.Host host) {
         this.client = client;
@@ -60,17 +60,17 @@
     }
 
     /** Writes a call; only its last byte's leaving decides whether it may have run. */
-    void carry(HostCall next) {
+    void send(HostCall next) {
         stopTimer();
-        rest = rested();
-        carried++;
+        idleBeforeCall = idleTime();
+        callCount++;
         call = next;
         reusable = false;
-        decoder.await();
-        next.begin(this);
-        context.writeAndFlush(next.request()).addListener(sent -> {
+        decoder.expectResponse();
+        next.assignConnection(this);
+        context.writeAndFlush(next.buildRequest()).addListener(sent -> {
             if (sent.isSuccess()) {
-                next.sent();
+                next.markSent();
             } else {
                 context.close();
             }
@@ -78,33 +78,33 @@
     }
 
     /** How long the connection has been idle; 0 where it has not carried a call yet. */
-    long rested() {
-        return restsSince == 0 ? 0 : client.now() - restsSince;
+    long idleTime() {
+        return idleSince == 0 ? 0 : client.now() - idleSince;
     }
 
     /** When the last answer came. */
-    long restsSince() {
-        return restsSince;
+    long idleSince() {
+        return idleSince;
     }
 
     /** True where the host closes the connection behind its answer to the first call on it. */
-    boolean isTurnedAway() {
-        return carried == 1 && !reusable;
+    boolean isClosedAfterFirstResponse() {
+        return callCount == 1 && !reusable;
     }
 
     /** How the connection had been used before its call, for staff. */
     String history() {
-        return carried == 1 ? "first call on its connection" : "call " + carried + " on its connection after "
-                + rest / 1000 + " ms idle";
+        return callCount == 1 ? "first call on its connection" : "call " + callCount + " on its connection after "
+                + idleBeforeCall / 1000 + " ms idle";
     }
 
-    void retireAfter(long micros) {
+    void closeAfter(long micros) {
         startTimer(micros, this::close);
     }
 
     private void startTimer(long micros, Runnable task) {
         stopTimer();
-        timer = client.after(micros, task);
+        timer = client.schedule(micros, task);
     }
 
     private void stopTimer() {
@@ -116,7 +116,7 @@
 
     /** Guards against a connection that is taken for another call before the loop tells of its end. */
     void close() {
-        client.closed(this);
+        client.removeIdle(this);
         context.close();
     }
 
@@ -134,7 +134,7 @@
     }
 
     /** Closes under a call that the relay itself has given up: nothing of it is to be told any more. */
-    void drop() {
+    void abandonCall() {
         call = null;
         close();
     }
@@ -148,51 +148,51 @@
         }
         // Guards against an answer to a request that has not left whole: it has not run.
         if (!call.isSent()) {
-            lose(HostCall::broken);
+            endCallAndClose(HostCall::connectionLost);
             return;
         }
         if (message.decoderResult().isFailure()) {
-            lose(this::spoil);
+            endCallAndClose(this::endInvalidResponse);
             return;
         }
         if (message instanceof HttpResponse response) {
             informational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-            if (!isSound(response)) {
-                lose(this::spoil);
+            if (!isFramingValid(response)) {
+                endCallAndClose(this::endInvalidResponse);
                 return;
             }
             if (!informational) {
                 reusable = HttpUtil.isKeepAlive(response);
-                call.head(response);
+                call.receiveHead(response);
             }
         }
         if (message instanceof HttpContent content && !informational) {
-            if (!call.body(content.content())) {
-                lose(this::spoil);
+            if (!call.receiveBody(content.content())) {
+                endCallAndClose(this::endInvalidResponse);
             } else if (content instanceof LastHttpContent) {
                 HostCall done = call;
                 call = null;
-                answered = true;
-                restsSince = client.now();
-                client.heldAfterRest(rest);
+                responseComplete = true;
+                idleSince = client.now();
+                client.idleConnectionSurvived(idleBeforeCall);
                 done.complete();
             }
         }
     }
 
     /** Guards against an answer whose end can't be known, and against one that leaves HTTP. */
-    private static boolean isSound(HttpResponse response) {
+    private static boolean isFramingValid(HttpResponse response) {
         return !response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
                 && !(response.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
                 && response.headers().contains(HttpHeaderNames.CONTENT_LENGTH));
     }
 
-    private void spoil(HostCall broken) {
-        broken.spoilt(decoder.status());
+    private void endInvalidResponse(HostCall broken) {
+        broken.endInvalidResponse(decoder.status());
     }
 
     /** The connection is of no further use, and its call ends as told. */
-    private void lose(Consumer<HostCall> how) {
+    private void endCallAndClose(Consumer<HostCall> how) {
         HostCall lost = call;
         call = null;
         if (lost != null) {
@@ -203,45 +203,45 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (answered) {
-            answered = false;
+        if (responseComplete) {
+            responseComplete = false;
             // Guards against what came with the answer and does not belong to it.
             if (reusable && !decoder.hasLeftover()) {
-                int breaks = host.breaks();
-                startTimer(REST, () -> free(breaks));
+                int breaks = host.idleGeneration();
+                startTimer(REUSE_DELAY_MICROS, () -> release(breaks));
             } else {
                 ctx.close();
             }
         } else if (call == null && decoder.hasLeftover()) {
             // Guards against half a line that nobody asked for: the next answer would be read as its end.
             close();
-        } else if (call != null && decoder.status() == AnswerDecoder.UNREADABLE) {
-            lose(this::spoil);
+        } else if (call != null && decoder.status() == EarlyStatusDecoder.UNREADABLE) {
+            endCallAndClose(this::endInvalidResponse);
         } else if (call != null && decoder.hasBegun()) {
             if (timer == null) {
-                startTimer(LONGEST_ANSWER, () -> lose(this::spoil));
+                startTimer(MAX_RESPONSE_MICROS, () -> endCallAndClose(this::endInvalidResponse));
             }
-            call.firstLine(decoder.status());
+            call.receiveStatusLine(decoder.status());
         }
     }
 
     /** Guards also against a connection that died with another one while it rested. */
-    private void free(int breaks) {
-        if (breaks != host.breaks()) {
+    private void release(int breaks) {
+        if (breaks != host.idleGeneration()) {
             context.close();
         } else if (context.channel().isActive()) {
-            client.free(this);
+            client.release(this);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         stopTimer();
-        client.closed(this);
-        if (call != null && call.isOpen() && !decoder.hasBegun()) {
-            client.brokeAfterRest(rest);
+        client.removeIdle(this);
+        if (call != null && call.hasPendingAttempts() && !decoder.hasBegun()) {
+            client.idleConnectionBroke(idleBeforeCall);
         }
-        lose(HostCall::broken);
+        endCallAndClose(HostCall::connectionLost);
     }
 
     @Override
--- a/src/main/java/drumdeal/relay/Counters.java
+++ b/src/main/java/drumdeal/relay/IntervalCounters.java
@@ -5,7 +5,7 @@
 import java.util.stream.Collectors;
 
 /** What has happened since the last line of figures, each thing by its name. */
-final class Counters {
+final class IntervalCounters {
     private final Map<String, Integer> counts = new LinkedHashMap<>();
 
     void count(String what) {
@@ -13,7 +13,7 @@
     }
 
     /** Says all counts and starts again from nothing; empty where nothing has happened. */
-    String take() {
+    String formatAndReset() {
         String text = counts.entrySet().stream().map(e -> e.getKey() + " " + e.getValue())
                 .collect(Collectors.joining(", "));
         counts.clear();
--- a/src/main/java/drumdeal/relay/Main.java
+++ b/src/main/java/drumdeal/relay/Main.java
@@ -1,7 +1,7 @@
 package drumdeal.relay;
 
-import drumdeal.SimHost;
-import drumdeal.WireException;
+import drumdeal.SimulatorAdapter;
+import drumdeal.JsonDataException;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -9,7 +9,7 @@
 
 /** Starts the relay or the simulator's adapter. */
 public final class Main {
-    private static final int MISUSE = 2;
+    private static final int EXIT_USAGE = 2;
 
     private Main() { }
 
@@ -18,8 +18,8 @@
         String mode = args.length == 1 ? args[0] : "";
         switch (mode) {
             case "serve" -> serve();
-            case "simhost" -> simhost();
-            default -> exit("usage: java -jar drumdeal.jar serve|simhost", MISUSE);
+            case "simhost" -> runSimHost();
+            default -> exit("usage: java -jar drumdeal.jar serve|simhost", EXIT_USAGE);
         }
     }
 
@@ -28,27 +28,27 @@
             Config config = Config.read(System.getenv());
             EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
             Relay relay = new Relay(loop, config);
-            Reload.onHangUp(System.getenv(), config, relay);
+            ConfigReloader.reloadOnHangUp(System.getenv(), config, relay);
             // Before clients come: a signal that crosses the start would end the process with their requests unread.
             Runtime.getRuntime().addShutdownHook(new Thread(relay::stop, "stop"));
             relay.start();
         } catch (Config.BadConfigException e) {
-            exit(e.getMessage(), MISUSE);
+            exit(e.getMessage(), EXIT_USAGE);
         } catch (IOException e) {
             exit(e.getMessage(), 1);
         }
     }
 
-    private static void simhost() throws IOException {
+    private static void runSimHost() throws IOException {
         try {
-            SimHost.runOnStandardStreams();
-        } catch (WireException e) {
+            SimulatorAdapter.runOnStandardStreams();
+        } catch (JsonDataException e) {
             exit(e.getMessage(), 1);
         }
     }
 
     private static void exit(String line, int code) {
-        Log.line(line);
+        Log.write(line);
         System.exit(code);
     }
 }
--- a/src/main/java/drumdeal/relay/Message.java
+++ b/src/main/java/drumdeal/relay/Message.java
@@ -8,16 +8,16 @@
 /** A message that a client handed in, and how far its delivery has come. Times are the {@link Clock}'s. */
 final class Message {
     /** What a client handed in; {@code tenant} and {@code key} may be null. */
-    record Content(String callId, String requestClass, String tenant, String key, long deadline,
+    record Content(String callId, String requestClass, String tenant, String idempotencyKey, long deadline,
             int destination, byte[] body) {
         /** The same message with so much less time. */
-        Content shortened(long margin) {
-            return new Content(callId, requestClass, tenant, key, deadline - margin, destination, body);
+        Content withEarlierDeadline(long margin) {
+            return new Content(callId, requestClass, tenant, idempotencyKey, deadline - margin, destination, body);
         }
     }
 
     /** How a message that is not delivered ends. */
-    record End(boolean refused, long retryIn) { }
+    record NonDelivery(boolean rejected, long retryAfter) { }
 
     /** One attempt; {@code result} stays null while nothing is known. */
     static final class Attempt {
@@ -39,31 +39,31 @@
     final long number;
     final Content content;
     /** Until when a delivery counts: later than the content's deadline by the margin kept for the message's end. */
-    long deliverableUntil;
+    long clientDeadline;
     /** What it was taken on under; null where a former version of the journal does not tell. */
-    final Policy.Terms terms;
+    final Policy.RequestTerms terms;
     final List<Attempt> attempts = new ArrayList<>();
     /** Where the client that handed the message in waits; null once it has its answer. */
-    ClientReply client;
-    End end;
+    ClientReply pendingReply;
+    NonDelivery nonDelivery;
     /** The timer that ends the message should the module leave it open. */
-    Future<?> endWatch;
+    Future<?> overdueTimer;
     /** Nothing more is owed. */
-    boolean over;
-    private int out;
+    boolean finished;
+    private int attemptsInFlight;
 
-    Message(long number, Content content, Policy.Terms terms) {
+    Message(long number, Content content, Policy.RequestTerms terms) {
         this.number = number;
         this.content = content;
-        deliverableUntil = content.deadline();
+        clientDeadline = content.deadline();
         this.terms = terms;
     }
 
     /** The same message under a number of another journal. */
-    Message renumbered(long next) {
+    Message withNumber(long next) {
         Message copy = new Message(next, content, terms);
         attempts.forEach(attempt -> copy.addAttempt(attempt.route, attempt.sentAt).result = attempt.result);
-        copy.end = end;
+        copy.nonDelivery = nonDelivery;
         return copy;
     }
 
@@ -74,23 +74,23 @@
     }
 
     void attemptStarted() {
-        out++;
+        attemptsInFlight++;
     }
 
     void attemptEnded() {
-        out--;
+        attemptsInFlight--;
     }
 
-    boolean hasAttemptsOut() {
-        return out > 0;
+    boolean hasAttemptsInFlight() {
+        return attemptsInFlight > 0;
     }
 
     /** The answer that a client waits for after it has handed a message in. */
     interface ClientReply {
-        void taken();
+        void sendAccepted();
 
-        void refused(long retryIn);
+        void sendRejected(long retryIn);
 
-        void failed();
+        void sendFailed();
     }
 }
--- a/src/main/java/drumdeal/relay/PredecessorLink.java
+++ b/src/main/java/drumdeal/relay/PredecessorLink.java
@@ -18,44 +18,44 @@
 /** The newer process's side of an upgrade: takes over from the older one, and from what it leaves behind. */
 final class PredecessorLink {
     /** Guards against an older process that hangs: the newer one then serves without what that one knows. */
-    private static final long PATIENCE_MS = 2000;
-    private static final long LOOK_MS = 20;
+    private static final long SNAPSHOT_TIMEOUT_MILLIS = 2000;
+    private static final long LOCK_POLL_MILLIS = 20;
 
     /** What the relay takes over. */
-    interface Heir {
-        void inherit(Standing standing);
+    interface TakeoverHandler {
+        void applySnapshot(HandoverSnapshot standing);
 
         /** Puts a message into the journal, to be run once it was let go. */
-        Message keep(byte[] records) throws IOException;
+        Message storeMessage(byte[] records) throws IOException;
 
-        void run(Message message);
+        void takeOwnership(Message message);
 
-        void endedElsewhere(String route, Policy.Result result, long wait, long elapsed, int callsOut);
+        void onPredecessorOutcome(String route, Policy.Result result, long wait, long elapsed, int callsOut);
 
         /** The older process has ended; what it has left in its part is adopted. */
-        void adopt(StateFolder.Part part) throws IOException;
+        void adoptFolder(StateFolder.LockedFolder part) throws IOException;
     }
 
     private final EventLoop loop;
-    private final Path part;
-    private final Heir heir;
-    private final Consumer<Standing> next;
-    private final Runnable gone;
+    private final Path predecessorFolder;
+    private final TakeoverHandler handler;
+    private final Consumer<HandoverSnapshot> onReady;
+    private final Runnable onPredecessorEnded;
     /** Messages that the older process has not let go of yet, by their number there. */
-    private final Map<Long, Message> parked = new HashMap<>();
+    private final Map<Long, Message> unreleasedMessages = new HashMap<>();
     private Channel channel;
-    private boolean told;
+    private boolean readyReported;
 
     /**
      * {@code next} is told once, as soon as this process may listen for clients, where the other one stands, or null
      * where that is not known; {@code gone} runs once that one has ended.
      */
-    PredecessorLink(EventLoop loop, Path part, Heir heir, Consumer<Standing> next, Runnable gone) {
+    PredecessorLink(EventLoop loop, Path part, TakeoverHandler heir, Consumer<HandoverSnapshot> next, Runnable gone) {
         this.loop = loop;
-        this.part = part;
-        this.heir = heir;
-        this.next = next;
-        this.gone = gone;
+        this.predecessorFolder = part;
+        this.handler = heir;
+        this.onReady = next;
+        this.onPredecessorEnded = gone;
     }
 
     void takeOver() {
@@ -65,86 +65,86 @@
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel ch) {
-                            Handover.attach(ch, PredecessorLink.this::heard);
+                            Handover.attachFrameHandler(ch, PredecessorLink.this::onFrame);
                         }
-                    }).connect(Handover.address(part));
+                    }).connect(Handover.socketAddress(predecessorFolder));
         } catch (IllegalArgumentException | UnsupportedOperationException e) {
-            Log.line("no handover: " + e);
-            closed();
+            Log.write("no handover: " + e);
+            onChannelClosed();
             return;
         }
         channel = opening.channel();
         opening.addListener(connected -> {
             if (connected.isSuccess()) {
-                Handover.send(channel, Handover.Word.ASK, out -> out.writeInt(Handover.VERSION));
+                Handover.send(channel, Handover.FrameType.TAKEOVER_REQUEST, out -> out.writeInt(Handover.VERSION));
             } else {
-                Log.line("no handover: " + connected.cause());
+                Log.write("no handover: " + connected.cause());
             }
         });
-        channel.closeFuture().addListener(ended -> closed());
+        channel.closeFuture().addListener(ended -> onChannelClosed());
         loop.schedule(() -> {
-            if (!told) {
+            if (!readyReported) {
                 channel.close();
             }
-        }, PATIENCE_MS, TimeUnit.MILLISECONDS);
+        }, SNAPSHOT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** This process listens for clients. */
-    void listening() {
+    void sendListening() {
         if (channel != null && channel.isActive()) {
-            Handover.send(channel, Handover.Word.LISTENING, out -> { });
+            Handover.send(channel, Handover.FrameType.LISTENING, out -> { });
         }
     }
 
-    private void heard(Handover.Word word, DataInputStream in) throws IOException {
+    private void onFrame(Handover.FrameType word, DataInputStream in) throws IOException {
         switch (word) {
-            case STANDING -> {
-                Standing standing = Standing.read(in);
-                heir.inherit(standing);
-                proceed(standing);
+            case SNAPSHOT -> {
+                HandoverSnapshot standing = HandoverSnapshot.read(in);
+                handler.applySnapshot(standing);
+                reportReady(standing);
             }
             case MESSAGE -> {
                 long number = in.readLong();
-                parked.put(number, heir.keep(in.readAllBytes()));
-                Handover.send(channel, Handover.Word.KEPT, out -> out.writeLong(number));
+                unreleasedMessages.put(number, handler.storeMessage(in.readAllBytes()));
+                Handover.send(channel, Handover.FrameType.MESSAGE_STORED, out -> out.writeLong(number));
             }
-            case YOURS -> {
-                Message message = parked.remove(in.readLong());
+            case MESSAGE_RELEASED -> {
+                Message message = unreleasedMessages.remove(in.readLong());
                 if (message != null) {
-                    heir.run(message);
+                    handler.takeOwnership(message);
                 }
             }
-            case OUTCOME -> heir.endedElsewhere(in.readUTF(), Policy.Result.valueOf(in.readUTF()), in.readLong(),
+            case OUTCOME -> handler.onPredecessorOutcome(in.readUTF(), Policy.Result.valueOf(in.readUTF()), in.readLong(),
                     in.readLong(), in.readInt());
             default -> throw new IOException("unexpected " + word);
         }
     }
 
-    private void proceed(Standing standing) {
-        if (!told) {
-            told = true;
-            next.accept(standing);
+    private void reportReady(HandoverSnapshot standing) {
+        if (!readyReported) {
+            readyReported = true;
+            onReady.accept(standing);
         }
     }
 
-    private void closed() {
-        proceed(null);
-        look();
+    private void onChannelClosed() {
+        reportReady(null);
+        adoptOnceUnlocked();
     }
 
     /** Adopts once the older process has ended: while it lives it may yet send what it has not let go of. */
-    private void look() {
-        try (StateFolder.Part left = StateFolder.tryTake(part)) {
+    private void adoptOnceUnlocked() {
+        try (StateFolder.LockedFolder left = StateFolder.tryLock(predecessorFolder)) {
             if (left != null) {
-                parked.values().forEach(heir::run);
-                parked.clear();
-                heir.adopt(left);
-                gone.run();
+                unreleasedMessages.values().forEach(handler::takeOwnership);
+                unreleasedMessages.clear();
+                handler.adoptFolder(left);
+                onPredecessorEnded.run();
                 return;
             }
         } catch (IOException e) {
-            Log.line("handover: what is left in " + part.getFileName() + " can't be adopted: " + e.getMessage());
+            Log.write("handover: what is left in " + predecessorFolder.getFileName() + " can't be adopted: " + e.getMessage());
         }
-        loop.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::adoptOnceUnlocked, LOCK_POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/drumdeal/relay/Relay.java
+++ b/src/main/java/drumdeal/relay/Relay.java
@@ -1,6 +1,6 @@
 package drumdeal.relay;
 
-import drumdeal.Logic;
+import drumdeal.DeliveryPolicy;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
@@ -13,250 +13,250 @@
 import java.util.concurrent.TimeUnit;
 
 /** The relay as a whole: puts its parts together, starts them and ends them. */
-final class Relay implements AdminServer.Controls, SuccessorLink.Elder, Reload.Taker {
+final class Relay implements AdminServer.Controls, SuccessorLink.HandoverHandler, ConfigReloader.Listener {
     // After the signal to end; the kill comes no sooner than 3.7 s after it.
-    private static final long SERVE_ON_MS = 500; // new connections still come, also when operators empty the relay
-    private static final long BEGIN_NOTHING_MS = 2200; // calls take about a second
-    private static final long GIVE_UP_MS = 3200; // what is still open is left to the journal
-    private static final long TURNED_AWAY_MS = 200; // for clients to read that a request begun is not waited for
-    private static final long LOOK_MS = 20;
+    private static final long DRAIN_DELAY_MILLIS = 500; // new connections still come, also when operators empty the relay
+    private static final long STOP_ATTEMPTS_DELAY_MILLIS = 2200; // calls take about a second
+    private static final long STOP_TIMEOUT_MILLIS = 3200; // what is still open is left to the journal
+    private static final long REJECTION_GRACE_MILLIS = 200; // for clients to read that a request begun is not waited for
+    private static final long POLL_INTERVAL_MILLIS = 20;
     /** Who sends a request as its connection closes sends it once more on a new one; nothing is won by leaving sooner. */
-    private static final long COME_AGAIN_MS = 500;
+    private static final long RECONNECT_GRACE_MILLIS = 500;
 
     private final EventLoop loop;
     private final Config config;
-    private final StateFolder state;
+    private final StateFolder stateFolder;
     private final Journal journal;
     private final Engine engine;
     private final EventLoopMonitor loopMonitor;
     private final Discovery discovery;
-    private final ClientServer clients;
+    private final ClientServer clientServer;
     private final SuccessorLink successor;
     private final List<PredecessorLink> predecessors = new ArrayList<>();
-    private final Promise<Void> serving;
-    private int predecessorsLeft;
-    private final CountDownLatch stopped = new CountDownLatch(1);
-    private Future<?> draining;
+    private final Promise<Void> servingPromise;
+    private int pendingPredecessors;
+    private final CountDownLatch exitLatch = new CountDownLatch(1);
+    private Future<?> drainTimer;
     private boolean listening;
-    private long stopAt;
+    private long stopDeadlineNanos;
 
     Relay(EventLoop loop, Config config) throws IOException {
         this.loop = loop;
         this.config = config;
         Clock clock = new Clock();
-        state = new StateFolder(config.state());
-        journal = new Journal(state.own(), config.diskBytes());
-        engine = new Engine(loop, clock, config, journal, Logic::new);
-        discovery = new Discovery(loop, new AgentClient(loop, config.discovery()), config.settings(),
-                config.known().isEmpty() ? -1 : config.knownVersion(), engine);
-        engine.onListWanted(discovery::askSoon);
-        loopMonitor = new EventLoopMonitor(loop, clock, engine::stalled);
-        clients = new ClientServer(engine, clock, loopMonitor, config.clientConnections());
+        stateFolder = new StateFolder(config.stateFolder());
+        journal = new Journal(stateFolder.ownFolder(), config.diskBytes());
+        engine = new Engine(loop, clock, config, journal, DeliveryPolicy::new);
+        discovery = new Discovery(loop, new AgentClient(loop, config.discoveryAddress()), config.settings(),
+                config.knownTargets().isEmpty() ? -1 : config.knownListVersion(), engine);
+        engine.setListRequester(discovery::requestSoon);
+        loopMonitor = new EventLoopMonitor(loop, clock, engine::onLoopStall);
+        clientServer = new ClientServer(engine, clock, loopMonitor, config.maxClientConnections());
         successor = new SuccessorLink(loop, this);
-        serving = loop.newPromise();
+        servingPromise = loop.newPromise();
     }
 
     /** Resumes what the journal holds and serves. */
     void start() throws IOException {
         try {
             loop.submit(() -> {
-                loopMonitor.start();
-                engine.start(config.knownVersion(), config.known(), state.own());
+                loopMonitor.checkPeriodically();
+                engine.start(config.knownListVersion(), config.knownTargets(), stateFolder.ownFolder());
                 discovery.start();
-                successor.listen(state.own());
+                successor.listen(stateFolder.ownFolder());
             }).sync();
             // Answers operators before clients come: they ask whether clients may.
-            if (config.admin() != null) {
-                Log.line("operators at " + new AdminServer(this).listen(loop, config.admin()).sync().channel()
+            if (config.adminAddress() != null) {
+                Log.write("operators at " + new AdminServer(this).listen(loop, config.adminAddress()).sync().channel()
                         .localAddress());
             }
-            loop.execute(this::takeOver);
-            serving.sync();
+            loop.execute(this::takeOverFromPredecessors);
+            servingPromise.sync();
         } catch (InterruptedException e) {
             throw new IOException("interrupted while starting", e);
         }
     }
 
     /** Serves at once where this is the only process, else as soon as each other one has told where it stands. */
-    private void takeOver() {
-        for (Path part : state.others()) {
-            try (StateFolder.Part left = StateFolder.tryTake(part)) {
+    private void takeOverFromPredecessors() {
+        for (Path part : stateFolder.otherFolders()) {
+            try (StateFolder.LockedFolder left = StateFolder.tryLock(part)) {
                 if (left != null) {
-                    engine.adopt(left);
+                    engine.adoptFolder(left);
                 } else {
-                    predecessors.add(new PredecessorLink(loop, part, engine, this::told, this::alone));
+                    predecessors.add(new PredecessorLink(loop, part, engine, this::onPredecessorAnswered, this::onPredecessorGone));
                 }
             } catch (IOException e) {
-                Log.line("what is left in " + part.getFileName() + " can't be adopted: " + e.getMessage());
+                Log.write("what is left in " + part.getFileName() + " can't be adopted: " + e.getMessage());
             }
         }
-        predecessorsLeft = predecessors.size();
-        if (predecessorsLeft == 0) {
-            listen();
+        pendingPredecessors = predecessors.size();
+        if (pendingPredecessors == 0) {
+            listenForClients();
         }
         predecessors.forEach(PredecessorLink::takeOver);
     }
 
     /** Until the other process has ended, its descriptors and this one's have one bound together. */
-    private void told(Standing standing) {
+    private void onPredecessorAnswered(HandoverSnapshot standing) {
         if (standing != null) {
-            int taken = Config.descriptors(standing.connections());
-            clients.yield(taken / 2);
-            engine.yield(taken - taken / 2);
+            int taken = Config.descriptorsFor(standing.connections());
+            clientServer.reserveDescriptors(taken / 2);
+            engine.reserveDescriptors(taken - taken / 2);
         }
-        if (--predecessorsLeft == 0) {
-            listen();
+        if (--pendingPredecessors == 0) {
+            listenForClients();
         }
     }
 
-    private void alone() {
-        clients.yield(0);
-        engine.yield(0);
+    private void onPredecessorGone() {
+        clientServer.reserveDescriptors(0);
+        engine.reserveDescriptors(0);
     }
 
-    private void listen() {
-        if (stopAt != 0) {
+    private void listenForClients() {
+        if (stopDeadlineNanos != 0) {
             return;
         }
-        ChannelFuture bound = clients.listen(loop, config.listen());
+        ChannelFuture bound = clientServer.listen(loop, config.listenAddress());
         bound.addListener(done -> {
             if (done.isSuccess()) {
-                Log.line("serving on " + bound.channel().localAddress());
+                Log.write("serving on " + bound.channel().localAddress());
                 listening = true;
-                predecessors.forEach(PredecessorLink::listening);
-                serving.setSuccess(null);
+                predecessors.forEach(PredecessorLink::sendListening);
+                servingPromise.setSuccess(null);
             } else {
-                serving.setFailure(done.cause());
+                servingPromise.setFailure(done.cause());
             }
         });
     }
 
     @Override
-    public Standing stopDeciding() {
-        Log.line("another process takes over");
-        return engine.stopDeciding(clients.connections());
+    public HandoverSnapshot suspendDecisions() {
+        Log.write("another process takes over");
+        return engine.suspendDecisions(clientServer.connectionCount());
     }
 
     @Override
-    public void decideAgain() {
-        Log.line("the other process is gone, this one serves on");
-        engine.decideAgain();
+    public void resumeDecisions() {
+        Log.write("the other process is gone, this one serves on");
+        engine.resumeDecisions();
     }
 
     @Override
-    public void passOn() {
-        clients.sendAway();
-        engine.passOn(successor);
+    public void handOver() {
+        clientServer.markUnready();
+        engine.handOver(successor);
         // After this pass has read what it found; nothing may be read while another read is under way.
         loop.execute(() -> {
-            clients.stopListening();
-            clients.drain();
-            leaveWhenDone();
+            clientServer.stopListening();
+            clientServer.drain();
+            exitWhenHandedOver();
         });
     }
 
     @Override
-    public void passedOn(Message message) {
-        engine.passedOn(message);
+    public void onHandedOver(Message message) {
+        engine.onHandedOver(message);
     }
 
     /** Leaves once nothing is owed here any more: the other process goes by all bounds again only then. */
-    private void leaveWhenDone() {
-        if (clients.isDeserted() && engine.isIdle()) {
-            Log.line("all is passed on");
-            stopped.countDown();
+    private void exitWhenHandedOver() {
+        if (clientServer.hasNoActiveClients() && engine.hasNoMessages()) {
+            Log.write("all is passed on");
+            exitLatch.countDown();
             // Guards against an exit that waits for the loop while the loop waits for the exit.
             new Thread(() -> System.exit(0), "leave").start();
         } else {
-            loop.schedule(this::leaveWhenDone, LOOK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::exitWhenHandedOver, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** Takes over the address of discovery and all settings; addresses and limits of its own stay. */
     @Override
-    public void taken(Config next) {
+    public void onConfigReloaded(Config next) {
         loop.execute(() -> {
-            Log.line("new settings, " + next.settings().classes().size() + " classes; discovery is at "
-                    + next.discovery());
-            engine.retune(next);
-            discovery.moveTo(next.discovery(), next.settings());
+            Log.write("new settings, " + next.settings().classes().size() + " classes; discovery is at "
+                    + next.discoveryAddress());
+            engine.reconfigure(next);
+            discovery.moveTo(next.discoveryAddress(), next.settings());
         });
     }
 
     @Override
-    public void turnedDown(String why) {
+    public void onConfigRejected(String why) {
         loop.execute(() -> {
-            Log.line("the old configuration stays in force: " + why);
-            engine.notRetuned();
+            Log.write("the old configuration stays in force: " + why);
+            engine.onReloadFailed();
         });
     }
 
     @Override
-    public boolean takesClients() {
-        return listening && engine.isReady() && clients.isWelcoming();
+    public boolean isAcceptingClients() {
+        return listening && engine.isReady() && clientServer.isMarkedReady();
     }
 
     @Override
-    public String stats() {
-        return engine.stats();
+    public String statsJson() {
+        return engine.statsJson();
     }
 
     @Override
-    public void empty() {
-        if (draining == null) {
-            clients.sendAway();
-            draining = loop.schedule(clients::drain, SERVE_ON_MS, TimeUnit.MILLISECONDS);
-            Log.line("clients are sent away");
+    public void startDraining() {
+        if (drainTimer == null) {
+            clientServer.markUnready();
+            drainTimer = loop.schedule(clientServer::drain, DRAIN_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+            Log.write("clients are sent away");
         }
     }
 
     @Override
-    public void refill() {
-        if (draining != null && stopAt == 0 && !successor.isCommitted()) {
-            draining.cancel(false);
-            draining = null;
-            clients.welcome();
-            Log.line("clients are taken again");
+    public void stopDraining() {
+        if (drainTimer != null && stopDeadlineNanos == 0 && !successor.isCommitted()) {
+            drainTimer.cancel(false);
+            drainTimer = null;
+            clientServer.markReady();
+            Log.write("clients are taken again");
         }
     }
 
     /** Ends service without breaking a promise; returns when the process may end. */
     void stop() {
         loop.execute(() -> {
-            stopAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GIVE_UP_MS);
-            if (clients.hasStoppedListening()) {
-                Log.line("told to end before clients could come");
+            stopDeadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STOP_TIMEOUT_MILLIS);
+            if (clientServer.hasStoppedListening()) {
+                Log.write("told to end before clients could come");
             }
-            empty();
+            startDraining();
             // Guards against calls that a process begins which has served nobody and has no time to hear of them.
-            loop.schedule(engine::beginNothing, listening ? BEGIN_NOTHING_MS : 0, TimeUnit.MILLISECONDS);
-            loop.schedule(this::endWhenDone, listening ? SERVE_ON_MS : 0, TimeUnit.MILLISECONDS);
+            loop.schedule(engine::stopNewAttempts, listening ? STOP_ATTEMPTS_DELAY_MILLIS : 0, TimeUnit.MILLISECONDS);
+            loop.schedule(this::exitWhenDrained, listening ? DRAIN_DELAY_MILLIS : 0, TimeUnit.MILLISECONDS);
         });
         try {
-            stopped.await();
+            exitLatch.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void endWhenDone() {
-        boolean late = System.nanoTime() >= stopAt;
+    private void exitWhenDrained() {
+        boolean late = System.nanoTime() >= stopDeadlineNanos;
         // Guards against leaving to be adopted what is just being passed on: that comes all at once.
-        boolean done = engine.isIdle() || !successor.isCommitted() && engine.beginsNothing() && engine.isQuiet();
-        if (late || done && clients.isDeserted(COME_AGAIN_MS)) {
+        boolean done = engine.hasNoMessages() || !successor.isCommitted() && engine.hasStoppedNewAttempts() && engine.hasNothingInFlight();
+        if (late || done && clientServer.hasNoActiveClients(RECONNECT_GRACE_MILLIS)) {
             // Guards against ending with clients who have come since the loop looked, and have no answer yet.
-            clients.stopListening();
-            clients.readNow();
+            clientServer.stopListening();
+            clientServer.readNow();
         }
         if (late) {
-            clients.turnAway();
+            clientServer.rejectIncompleteRequests();
         }
-        boolean left = clients.connections() == 0
-                || System.nanoTime() >= stopAt + TimeUnit.MILLISECONDS.toNanos(TURNED_AWAY_MS);
-        if (clients.hasStoppedListening() && (done && clients.isDeserted() || late && !clients.isAnswering() && left)) {
-            stopped.countDown();
+        boolean left = clientServer.connectionCount() == 0
+                || System.nanoTime() >= stopDeadlineNanos + TimeUnit.MILLISECONDS.toNanos(REJECTION_GRACE_MILLIS);
+        if (clientServer.hasStoppedListening() && (done && clientServer.hasNoActiveClients() || late && !clientServer.hasPendingResponses() && left)) {
+            exitLatch.countDown();
         } else {
-            loop.schedule(this::endWhenDone, LOOK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::exitWhenDrained, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/src/main/java/drumdeal/relay/Health.java
+++ b/src/main/java/drumdeal/relay/RouteStateFile.java
@@ -11,52 +11,52 @@
  * What the decision module has learned of its routes, in a file that outlasts the process. Guards against a fleet that
  * is killed together and comes back with every circuit closed and every pace without limit.
  */
-final class Health {
+final class RouteStateFile {
     /** What is older tells nothing of now: outages and lowered limits last seconds. */
-    static final long OLDEST = 15_000_000;
+    static final long MAX_AGE_MICROS = 15_000_000;
     private static final int VERSION = 1;
     /** Of the disk, for the file that stands; for a moment the next one stands beside it. */
-    private static final int LARGEST_SHARE = 8;
-    private static final int BLOCK = 512;
-    private static final int HEAD = Integer.BYTES + Long.BYTES + Integer.BYTES;
-    private static final String FILE = "health";
+    private static final int MAX_DISK_SHARE_DIVISOR = 8;
+    private static final int BLOCK_BYTES = 512;
+    private static final int HEADER_BYTES = Integer.BYTES + Long.BYTES + Integer.BYTES;
+    private static final String FILE_NAME = "health";
 
-    private Health() { }
+    private RouteStateFile() { }
 
     /**
      * Replaces the file and tells how much of the disk it wants; an error costs the next process what was learned,
      * nothing else.
      */
     static long write(Path folder, byte[] memory, long now, long disk) {
-        if (HEAD + memory.length > disk / LARGEST_SHARE) {
-            Log.line("health: there is no room for " + memory.length + " bytes");
+        if (HEADER_BYTES + memory.length > disk / MAX_DISK_SHARE_DIVISOR) {
+            Log.write("health: there is no room for " + memory.length + " bytes");
             return 0;
         }
-        byte[] file = ByteBuffer.allocate(HEAD + memory.length).putInt(VERSION).putLong(now).putInt(sum(memory, now))
+        byte[] file = ByteBuffer.allocate(HEADER_BYTES + memory.length).putInt(VERSION).putLong(now).putInt(checksum(memory, now))
                 .put(memory).array();
-        Path unfinished = folder.resolve(FILE + ".new");
+        Path unfinished = folder.resolve(FILE_NAME + ".new");
         try {
             Files.write(unfinished, file);
-            Files.move(unfinished, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE);
+            Files.move(unfinished, folder.resolve(FILE_NAME), StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            Log.line("health: can't be written: " + e.getMessage());
+            Log.write("health: can't be written: " + e.getMessage());
         }
-        return 2L * (file.length + BLOCK);
+        return 2L * (file.length + BLOCK_BYTES);
     }
 
     /** What the last process has learned; null, and one line for staff, where nothing of it can be relied on. */
     static byte[] read(Path folder, long now, long disk) {
         try {
-            Path path = folder.resolve(FILE);
+            Path path = folder.resolve(FILE_NAME);
             if (!Files.exists(path)) {
-                return passOver("there is no file");
+                return reportUnusable("there is no file");
             }
-            if (Files.size(path) > disk / LARGEST_SHARE) {
-                return passOver("the file is too large");
+            if (Files.size(path) > disk / MAX_DISK_SHARE_DIVISOR) {
+                return reportUnusable("the file is too large");
             }
             ByteBuffer file = ByteBuffer.wrap(Files.readAllBytes(path));
-            if (file.remaining() < HEAD) {
-                return passOver("the file is cut short");
+            if (file.remaining() < HEADER_BYTES) {
+                return reportUnusable("the file is cut short");
             }
             int version = file.getInt();
             long writtenAt = file.getLong();
@@ -64,28 +64,28 @@
             byte[] memory = new byte[file.remaining()];
             file.get(memory);
             if (version != VERSION) {
-                return passOver("the file is of version " + version);
+                return reportUnusable("the file is of version " + version);
             }
-            if (sum != sum(memory, writtenAt)) {
-                return passOver("the file is not whole");
+            if (sum != checksum(memory, writtenAt)) {
+                return reportUnusable("the file is not whole");
             }
             long age = now - writtenAt;
-            if (age > OLDEST || age < 0) {
-                return passOver("the file is " + age / 1000 + " ms old");
+            if (age > MAX_AGE_MICROS || age < 0) {
+                return reportUnusable("the file is " + age / 1000 + " ms old");
             }
-            Log.line("health: as it was " + age / 1000 + " ms ago");
+            Log.write("health: as it was " + age / 1000 + " ms ago");
             return memory;
         } catch (IOException e) {
-            return passOver(e.toString());
+            return reportUnusable(e.toString());
         }
     }
 
-    private static byte[] passOver(String why) {
-        Log.line("health: nothing from before: " + why);
+    private static byte[] reportUnusable(String why) {
+        Log.write("health: nothing from before: " + why);
         return null;
     }
 
-    private static int sum(byte[] memory, long writtenAt) {
+    private static int checksum(byte[] memory, long writtenAt) {
         CRC32 crc = new CRC32();
         crc.update(ByteBuffer.allocate(Long.BYTES).putLong(writtenAt).array());
         crc.update(memory);
--- a/src/main/java/drumdeal/relay/StateFolder.java
+++ b/src/main/java/drumdeal/relay/StateFolder.java
@@ -15,11 +15,11 @@
  * its own alone, and a lock, which goes with the process however it ends, tells whose a part is.
  */
 final class StateFolder {
-    private static final int MOST_PARTS = 4;
-    private static final String LOCK = "owner.lock";
+    private static final int MAX_PROCESS_FOLDERS = 4;
+    private static final String LOCK_FILE_NAME = "owner.lock";
 
     /** A part that this process owns until it lets go of the lock. */
-    record Part(Path folder, FileLock lock) implements AutoCloseable {
+    record LockedFolder(Path folder, FileLock lock) implements AutoCloseable {
         @Override
         public void close() throws IOException {
             lock.acquiredBy().close();
@@ -27,44 +27,44 @@
     }
 
     private final Path root;
-    private final Part own;
+    private final LockedFolder ownFolder;
 
     /** Takes the first part that nobody owns. */
     StateFolder(Path root) throws IOException {
         this.root = root;
-        Part free = null;
-        for (int i = 0; i < MOST_PARTS && free == null; i++) {
-            free = tryTake(part(i));
+        LockedFolder free = null;
+        for (int i = 0; i < MAX_PROCESS_FOLDERS && free == null; i++) {
+            free = tryLock(processFolder(i));
         }
         if (free == null) {
             throw new IOException("every part of " + root + " is in use");
         }
-        own = free;
+        ownFolder = free;
     }
 
-    private Path part(int number) {
+    private Path processFolder(int number) {
         return number == 0 ? root : root.resolve(Integer.toString(number));
     }
 
-    Path own() {
-        return own.folder();
+    Path ownFolder() {
+        return ownFolder.folder();
     }
 
     /** The parts that other processes own or have left behind. */
-    List<Path> others() {
+    List<Path> otherFolders() {
         List<Path> others = new ArrayList<>();
-        for (int i = 0; i < MOST_PARTS; i++) {
-            if (!part(i).equals(own.folder()) && Files.exists(part(i).resolve(LOCK))) {
-                others.add(part(i));
+        for (int i = 0; i < MAX_PROCESS_FOLDERS; i++) {
+            if (!processFolder(i).equals(ownFolder.folder()) && Files.exists(processFolder(i).resolve(LOCK_FILE_NAME))) {
+                others.add(processFolder(i));
             }
         }
         return others;
     }
 
     /** Takes a part; null while another process owns it. */
-    static Part tryTake(Path folder) throws IOException {
+    static LockedFolder tryLock(Path folder) throws IOException {
         Files.createDirectories(folder);
-        FileChannel channel = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE,
+        FileChannel channel = FileChannel.open(folder.resolve(LOCK_FILE_NAME), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE);
         FileLock lock = null;
         try {
@@ -76,6 +76,6 @@
                 channel.close();
             }
         }
-        return lock == null ? null : new Part(folder, lock);
+        return lock == null ? null : new LockedFolder(folder, lock);
     }
 }
--- a/src/main/java/drumdeal/relay/Stats.java
+++ b/src/main/java/drumdeal/relay/Stats.java
@@ -9,62 +9,62 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Totals since the start of the process, for operators; unlike {@link Counters} they are never cleared. */
+/** Totals since the start of the process, for operators; unlike {@link IntervalCounters} they are never cleared. */
 final class Stats {
     /** How the messages of one class have ended. */
-    private static final class Ends {
+    private static final class ClassTotals {
         private long completed;
         private long rejected;
         private long failed;
     }
 
-    private final JsonFactory json = new JsonFactory();
-    private final Map<String, Ends> classes = new LinkedHashMap<>();
-    private long written;
+    private final JsonFactory jsonFactory = new JsonFactory();
+    private final Map<String, ClassTotals> totalsByClass = new LinkedHashMap<>();
+    private long writtenMessages;
     private long reloads;
     private long reloadErrors;
 
     /** A class has its entry from now on, also once it is dropped. */
-    void know(Collection<String> names) {
-        names.forEach(this::ends);
+    void registerClasses(Collection<String> names) {
+        names.forEach(this::totalsFor);
     }
 
-    private Ends ends(String name) {
-        return classes.computeIfAbsent(name, n -> new Ends());
+    private ClassTotals totalsFor(String name) {
+        return totalsByClass.computeIfAbsent(name, n -> new ClassTotals());
     }
 
-    void completed(String name) {
-        ends(name).completed++;
+    void countCompleted(String name) {
+        totalsFor(name).completed++;
     }
 
-    void rejected(String name) {
-        ends(name).rejected++;
+    void countRejected(String name) {
+        totalsFor(name).rejected++;
     }
 
-    void failed(String name) {
-        ends(name).failed++;
+    void countFailed(String name) {
+        totalsFor(name).failed++;
     }
 
     /** So many messages have been written whole to an endpoint. */
-    void written(int messages) {
-        written += messages;
+    void countWritten(int messages) {
+        writtenMessages += messages;
     }
 
-    void reloaded() {
+    void countReload() {
         reloads++;
     }
 
-    void reloadFailed() {
+    void countReloadError() {
         reloadErrors++;
     }
 
     /** All figures as JSON, with those that stand for this moment alone. */
-    String json(int pending, int members, int unavailable) {
+    String toJson(int pending, int members, int unavailable) {
         StringWriter text = new StringWriter();
-        try (JsonGenerator out = json.createGenerator(text)) {
+        try (JsonGenerator out = jsonFactory.createGenerator(text)) {
             out.writeStartObject();
             out.writeObjectFieldStart("downstream_requests");
-            for (Map.Entry<String, Ends> entry : classes.entrySet()) {
+            for (Map.Entry<String, ClassTotals> entry : totalsByClass.entrySet()) {
                 out.writeObjectFieldStart(entry.getKey());
                 out.writeNumberField("completed", entry.getValue().completed);
                 out.writeNumberField("rejected", entry.getValue().rejected);
@@ -72,7 +72,7 @@
                 out.writeEndObject();
             }
             out.writeEndObject();
-            out.writeNumberField("upstream_requests", written);
+            out.writeNumberField("upstream_requests", writtenMessages);
             out.writeNumberField("pending", pending);
             out.writeNumberField("members", members);
             out.writeNumberField("members_unavailable", unavailable);
