--- a/src/main/java/drumdeal/relay/SuccessorLink.java
+++ b/src/main/java/drumdeal/relay/SuccessorLink.java
@@ -19,88 +19,88 @@
 /** The older process's side of an upgrade: waits for a newer one and hands over to the first that asks. */
 final class SuccessorLink {
     /** A newer process that does not listen so long after it was told all is given up, and this one serves on. */
-    private static final long LISTEN_MS = 2000;
+    private static final long LISTEN_TIMEOUT_MILLIS = 2000;
     /** Guards against clients that wait while hundreds of messages pass at once: neither process reads them then. */
-    private static final int MOST_OFFERED = 16;
+    private static final int MAX_UNACKNOWLEDGED_MESSAGES = 16;
 
     /** What the relay does for its successor. */
-    interface Elder {
+    interface HandoverHandler {
         /** Takes no decision from now on. */
-        Standing stopDeciding();
+        HandoverSnapshot suspendDecisions();
 
         /** The successor is gone before it served: all goes on as it was. */
-        void decideAgain();
+        void resumeDecisions();
 
         /** The successor listens: what is at rest, now and later, is to be passed on. */
-        void passOn();
+        void handOver();
 
         /** The successor owns a message. */
-        void passedOn(Message message);
+        void onHandedOver(Message message);
     }
 
     private final EventLoop loop;
-    private final Elder elder;
+    private final HandoverHandler handler;
     /** Messages to be passed on, and those on the way, by their number here. */
-    private final Map<Long, Message> waiting = new LinkedHashMap<>();
-    private final Map<Long, Message> offered = new HashMap<>();
-    private Channel successor;
+    private final Map<Long, Message> queuedMessages = new LinkedHashMap<>();
+    private final Map<Long, Message> unacknowledgedMessages = new HashMap<>();
+    private Channel successorChannel;
     private boolean committed;
 
-    SuccessorLink(EventLoop loop, Elder elder) {
+    SuccessorLink(EventLoop loop, HandoverHandler elder) {
         this.loop = loop;
-        this.elder = elder;
+        this.handler = elder;
     }
 
     /** Waits in the part of the folder that this process owns; without the socket an upgrade takes longer. */
     void listen(Path part) {
         try {
             // Guards against what a process that was killed has left there.
-            Files.deleteIfExists(Handover.path(part));
-            new ServerBootstrap().group(loop).channel(NioServerDomainSocketChannel.class).handler(new AcceptGuard())
+            Files.deleteIfExists(Handover.socketPath(part));
+            new ServerBootstrap().group(loop).channel(NioServerDomainSocketChannel.class).handler(new AcceptErrorHandler())
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel ch) {
-                            Handover.attach(ch, (word, in) -> heard(ch, word, in));
+                            Handover.attachFrameHandler(ch, (word, in) -> onFrame(ch, word, in));
                         }
-                    }).bind(Handover.address(part)).addListener(bound -> {
+                    }).bind(Handover.socketAddress(part)).addListener(bound -> {
                         if (!bound.isSuccess()) {
-                            Log.line("no handover: " + bound.cause());
+                            Log.write("no handover: " + bound.cause());
                         }
                     });
         } catch (IOException | IllegalArgumentException | UnsupportedOperationException e) {
-            Log.line("no handover: " + e);
+            Log.write("no handover: " + e);
         }
     }
 
-    private void heard(Channel channel, Handover.Word word, DataInputStream in) throws IOException {
-        if (word == Handover.Word.ASK && successor == null && in.readInt() == Handover.VERSION) {
-            asked(channel);
-        } else if (word == Handover.Word.LISTENING && channel == successor && !committed) {
+    private void onFrame(Channel channel, Handover.FrameType word, DataInputStream in) throws IOException {
+        if (word == Handover.FrameType.TAKEOVER_REQUEST && successorChannel == null && in.readInt() == Handover.VERSION) {
+            onTakeoverRequest(channel);
+        } else if (word == Handover.FrameType.LISTENING && channel == successorChannel && !committed) {
             committed = true;
-            elder.passOn();
-        } else if (word == Handover.Word.KEPT && channel == successor) {
-            kept(in.readLong());
+            handler.handOver();
+        } else if (word == Handover.FrameType.MESSAGE_STORED && channel == successorChannel) {
+            onMessageStored(in.readLong());
         } else {
             channel.close();
         }
     }
 
-    private void asked(Channel channel) {
-        successor = channel;
-        Standing standing = elder.stopDeciding();
-        Handover.send(channel, Handover.Word.STANDING, standing::write);
-        channel.closeFuture().addListener(closed -> gone());
+    private void onTakeoverRequest(Channel channel) {
+        successorChannel = channel;
+        HandoverSnapshot standing = handler.suspendDecisions();
+        Handover.send(channel, Handover.FrameType.SNAPSHOT, standing::write);
+        channel.closeFuture().addListener(closed -> onSuccessorClosed());
         loop.schedule(() -> {
             if (!committed) {
                 channel.close();
             }
-        }, LISTEN_MS, TimeUnit.MILLISECONDS);
+        }, LISTEN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void gone() {
+    private void onSuccessorClosed() {
         if (!committed) {
-            successor = null;
-            elder.decideAgain();
+            successorChannel = null;
+            handler.resumeDecisions();
         }
     }
 
@@ -111,22 +111,22 @@
 
     /** Passes on a message that is at rest: it is the successor's once that one has it in its journal. */
     void offer(Message message) {
-        if (!offered.containsKey(message.number)) {
-            waiting.put(message.number, message);
-            offerNext();
+        if (!unacknowledgedMessages.containsKey(message.number)) {
+            queuedMessages.put(message.number, message);
+            offerQueuedMessages();
         }
     }
 
-    private void offerNext() {
-        Iterator<Message> next = waiting.values().iterator();
-        while (successor.isActive() && next.hasNext() && offered.size() < MOST_OFFERED) {
+    private void offerQueuedMessages() {
+        Iterator<Message> next = queuedMessages.values().iterator();
+        while (successorChannel.isActive() && next.hasNext() && unacknowledgedMessages.size() < MAX_UNACKNOWLEDGED_MESSAGES) {
             Message message = next.next();
             next.remove();
             // Guards against passing on what has run out of time while it waited here.
-            if (message.end == null && !message.over) {
-                offered.put(message.number, message);
+            if (message.nonDelivery == null && !message.finished) {
+                unacknowledgedMessages.put(message.number, message);
                 byte[] records = Journal.pack(message);
-                Handover.send(successor, Handover.Word.MESSAGE, out -> {
+                Handover.send(successorChannel, Handover.FrameType.MESSAGE, out -> {
                     out.writeLong(message.number);
                     out.write(records);
                 });
@@ -134,18 +134,18 @@
         }
     }
 
-    private void kept(long number) {
-        Message message = offered.remove(number);
+    private void onMessageStored(long number) {
+        Message message = unacknowledgedMessages.remove(number);
         if (message != null) {
-            elder.passedOn(message);
-            Handover.send(successor, Handover.Word.YOURS, out -> out.writeLong(number));
-            offerNext();
+            handler.onHandedOver(message);
+            Handover.send(successorChannel, Handover.FrameType.MESSAGE_RELEASED, out -> out.writeLong(number));
+            offerQueuedMessages();
         }
     }
 
     /** Tells how a call ended that was out when the successor took over. */
-    void outcome(String route, Policy.Result result, long wait, long elapsed, int callsOut) {
-        Handover.send(successor, Handover.Word.OUTCOME, out -> {
+    void sendOutcome(String route, Policy.Result result, long wait, long elapsed, int callsOut) {
+        Handover.send(successorChannel, Handover.FrameType.OUTCOME, out -> {
             out.writeUTF(route);
             out.writeUTF(result.name());
             out.writeLong(wait);
--- a/src/main/java/drumdeal/relay/Target.java
+++ b/src/main/java/drumdeal/relay/Target.java
@@ -1,37 +1,37 @@
 package drumdeal.relay;
 
-import drumdeal.Fields;
+import drumdeal.JsonReader;
 import drumdeal.Policy;
-import drumdeal.WireException;
+import drumdeal.JsonDataException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 
 /** A host in discovery's list and the address at which this relay reaches it. */
-record Target(Policy.Listed listed, InetSocketAddress address) {
+record Target(Policy.ListedRoute listed, InetSocketAddress address) {
 
     /** Reads the entries of a list; one that makes no sense is logged and passed over. */
-    static List<Target> readAll(Fields list) {
+    static List<Target> readAll(JsonReader list) {
         List<Target> targets = new ArrayList<>();
-        for (Object json : list.list("targets")) {
+        for (Object json : list.listOrEmpty("targets")) {
             try {
-                targets.add(read(Fields.ofObject("targets", json)));
-            } catch (WireException | IllegalArgumentException e) {
-                Log.line("discovery: an entry is passed over: " + e.getMessage());
+                targets.add(read(JsonReader.ofObject("targets", json)));
+            } catch (JsonDataException | IllegalArgumentException e) {
+                Log.write("discovery: an entry is passed over: " + e.getMessage());
             }
         }
         return targets;
     }
 
-    private static Target read(Fields entry) {
+    private static Target read(JsonReader entry) {
         Policy.Availability availability = switch (entry.text("state")) {
             case "in_service" -> Policy.Availability.LISTED;
             case "terminating" -> Policy.Availability.DRAINING;
             case "terminated" -> Policy.Availability.REMOVED;
-            default -> throw new WireException("unknown state " + entry.text("state"));
+            default -> throw new JsonDataException("unknown state " + entry.text("state"));
         };
-        Policy.Listed listed = new Policy.Listed(entry.text("uid"), (int) entry.whole("pod_group"),
+        Policy.ListedRoute listed = new Policy.ListedRoute(entry.text("uid"), (int) entry.integer("pod_group"),
                 entry.text("model"), entry.text("az"), availability, entry.number("capacity_hint", 0));
-        return new Target(listed, Config.address(entry.text("endpoint")));
+        return new Target(listed, Config.parseAddress(entry.text("endpoint")));
     }
 }
--- /dev/null
+++ b/src/test/java/drumdeal/DeliveryPolicyTest.java
@@ -0,0 +1,839 @@
+package drumdeal;
+
+import static drumdeal.SimulatedRelay.MILLISECOND;
+import static drumdeal.SimulatedRelay.SECOND;
+import static drumdeal.SimulatedRelay.route;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import drumdeal.Policy.Availability;
+import drumdeal.Policy.ListedRoute;
+import drumdeal.Policy.Result;
+import drumdeal.DeliveryState.PeerNoteType;
+import java.nio.ByteBuffer;
+import java.util.HexFormat;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+class DeliveryPolicyTest {
+    private final SimulatedRelay relay = new SimulatedRelay(SimulatedRelay.settings())
+            .receiveFullList(route("a", 1, "plain", "east"), route("b", 1, "plain", "west"),
+                    route("c", 2, "apart", "east"), route("d", 3, "bulk", "east"));
+
+    @Test
+    void sendsAtOnceWhenAllIsWell() {
+        relay.accept(1, "safe", 1);
+        assertEquals(1, relay.countSends(1));
+    }
+
+    @Test
+    void firstSendsSpreadOverRoutesNearTheTop() {
+        for (int id = 0; id < 200; id++) {
+            relay.accept(id, "safe", 1).advance(100 * MILLISECOND).answer(id, Result.OK);
+        }
+        long onA = relay.sent.stream().filter(s -> s.route().equals("a")).count();
+        assertTrue(onA > 60 && onA < 160, "on one route: " + onA);
+    }
+
+    @Test
+    void failedRequestFallsThroughToTheOtherRoute() {
+        relay.accept(1, "safe", 1).advance(MILLISECOND).answer(1, Result.CONNECT_FAILED).advance(MILLISECOND);
+        assertEquals(2, relay.sent.size());
+        assertFalse(relay.sent.get(0).route().equals(relay.sent.get(1).route()));
+    }
+
+    @Test
+    void requestWithoutARouteIsHeldForAListChangeAndEndsInTime() {
+        relay.accept(1, "safe", 9).accept(2, "safe", 8).advance(SECOND);
+        assertEquals(0, relay.sent.size());
+        relay.receiveListChanges(route("z", 9, "plain", "east"));
+        assertEquals(1, relay.countSends(1));
+        relay.advance(20 * SECOND);
+        assertEquals(List.of(2L), relay.refused);
+    }
+
+    @Test
+    void routeThatMayDrainUnheardIsLeftUntilTheListComesUnlessItServes() {
+        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.settings()).receiveFullList(route("c", 2, "apart", "east"), route("a", 1, "plain", "east"));
+        one.accept(1, "safe", 1).accept(2, "safe", 2).advance(MILLISECOND);
+        one.runRound(new Policy.RouteListStale(one.now, one.now + 4 * SECOND));
+        long due = one.now + 4 * SECOND;
+        one.answer(1, Result.OK).answer(2, Result.OK).advance(SECOND);
+        one.accept(3, "safe", 2).answer(3, Result.OK).accept(4, "safe", 2).answer(4, Result.OK).advance(4 * SECOND);
+        assertEquals(List.of(Long.MAX_VALUE, Long.MAX_VALUE, due, Long.MAX_VALUE), one.latestSendTimes);
+        one.accept(5, "safe", 1).accept(6, "safe", 2);
+        assertEquals(0, one.countSends(5), "what this route served had been sent before there was news");
+        assertEquals(1, one.countSends(6));
+        one.receiveListChanges();
+        assertEquals(1, one.countSends(5));
+    }
+
+    @Test
+    void endingModuleSendsNothingAndRefusesWhatRunsOutOfTime() {
+        relay.accept(1, "safe", 1).runRound(new Policy.ShutdownStarted()).accept(2, "once", 1);
+        relay.answer(1, Result.CONNECT_FAILED).advance(19 * SECOND);
+        assertEquals(1, relay.sent.size());
+        relay.advance(2 * SECOND);
+        assertEquals(List.of(1L, 2L), relay.refused);
+    }
+
+    @Test
+    void threeFailuresOpenAndOneTestCloses() {
+        openCircuitOfRouteC();
+        relay.accept(10, "safe", 2).accept(11, "safe", 2).advance(500 * MILLISECOND);
+        assertEquals(0, relay.countSends(10) + relay.countSends(11));
+        relay.advance(6 * SECOND);
+        assertEquals(1, relay.countSends(10) + relay.countSends(11), "one test only");
+        relay.answer(relay.unanswered.get(0).id(), Result.OK).advance(5 * SECOND);
+        assertEquals(2, relay.countSends(10) + relay.countSends(11));
+    }
+
+    @Test
+    void timeoutThatComesFromTheDeadlineIsNotTheRoutesFailure() {
+        for (int id = 1; id <= 5; id++) {
+            relay.runRound(acceptedEvent(id, 300 * MILLISECOND)).advance(300 * MILLISECOND).answer(id, Result.TIMEOUT);
+        }
+        assertEquals(5, relay.sent.size());
+        assertTrue(relay.logLines.isEmpty());
+    }
+
+    @Test
+    void connectionsThatBreakNowAndThenOpenNothing() {
+        makeFrequentCalls();
+        for (int id = 1; id <= 3; id++) {
+            relay.accept(id, "once", 2).advance(MILLISECOND).answer(id, Result.RESET);
+        }
+        assertTrue(relay.logLines.isEmpty());
+    }
+
+    @Test
+    void testGoesByAMessageWithTimeLeft() {
+        openCircuitOfRouteC();
+        relay.runRound(acceptedEvent(10, 2500 * MILLISECOND)).accept(11, "safe", 2).advance(6 * SECOND);
+        assertEquals(0, relay.countSends(10));
+        assertEquals(1, relay.countSends(11));
+    }
+
+    @Test
+    void overdueCallGivesWayWhereSlotsAreWanted() {
+        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(1, 100)).receiveFullList(route("c", 2, "apart", "east"), route("a", 1, "plain", "east"));
+        narrow.accept(1, "once", 2).advance(10 * SECOND);
+        assertTrue(narrow.cancelled.isEmpty(), "nobody wants its slot");
+        narrow.accept(2, "safe", 1);
+        assertEquals(List.of(1L), narrow.cancelled);
+    }
+
+    @Test
+    void newestGoesFirstWhereMessagesRunOutOfTime() {
+        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(1, 100)).receiveFullList(route("a", 1, "plain", "east"));
+        for (int id = 1; id <= 30; id++) {
+            narrow.accept(id, "once", 1);
+        }
+        while (narrow.now < 18 * SECOND) {
+            narrow.advance(2 * SECOND).answer(narrow.unanswered.get(0).id(), Result.OK);
+        }
+        narrow.accept(40, "once", 1).advance(3 * SECOND).accept(41, "once", 1);
+        assertTrue(narrow.refused.size() > 10, "so many ran out of time: " + narrow.refused.size());
+        narrow.answer(narrow.unanswered.get(0).id(), Result.OK);
+        assertEquals(1, narrow.countSends(41));
+        assertEquals(0, narrow.countSends(40));
+    }
+
+    @Test
+    void routesOfManyGenerationsAreForgotten() throws ReflectiveOperationException {
+        for (int i = 0; i < 1000; i++) {
+            String apart = "apart" + i;
+            relay.receiveFullList(route("plain" + i, 1, "plain", "east"), route(apart, 2, "apart", "east"));
+            relay.accept(i, "safe", 2).advance(100 * MILLISECOND);
+            relay.receiveListChanges(new ListedRoute(apart, 2, "apart", "east", Availability.REMOVED, 0));
+            while (!relay.unanswered.isEmpty()) {
+                relay.answer(relay.unanswered.get(0).id(), i % 2 == 0 ? Result.OK : Result.ERROR);
+            }
+            relay.advance(100 * MILLISECOND);
+        }
+        relay.receiveFullList();
+        for (String name : List.of("routes", "groups")) {
+            java.lang.reflect.Field field = DeliveryPolicy.class.getDeclaredField(name);
+            field.setAccessible(true);
+            int left = ((java.util.Map<?, ?>) field.get(relay.module())).size();
+            assertTrue(left < 5, name + " left: " + left);
+        }
+    }
+
+    @Test
+    void routeThatIsGoneStillAnswers() {
+        relay.accept(1, "safe", 2).advance(MILLISECOND).receiveFullList();
+        relay.answer(1, Result.ERROR).receiveFullList(route("c", 2, "apart", "east")).advance(4 * SECOND);
+        assertEquals(2, relay.countSends(1));
+    }
+
+    private Policy.RequestAccepted acceptedEvent(long id, long left) {
+        return new Policy.RequestAccepted(id, "safe", null, null, relay.now + left, 2);
+    }
+
+    @Test
+    void oneFailureOpensWhereCallsAreRare() {
+        relay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.CONNECT_FAILED).accept(2, "safe", 2).advance(SECOND);
+        assertEquals(List.of("out: c"), relay.logLines);
+        assertEquals(1, relay.sent.size());
+    }
+
+    @Test
+    void oneErrorAmongManyServesOpensNothing() {
+        makeFrequentCalls();
+        relay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.ERROR).advance(MILLISECOND);
+        assertTrue(relay.logLines.isEmpty());
+        assertEquals(2, relay.countSends(1));
+    }
+
+    @Test
+    void testsOfAFleetStayFarUnderWhatItsCallsWouldBe() {
+        int tests = 0;
+        for (int seed = 0; seed < 100; seed++) {
+            SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, seed)).receiveFullList(route("c", 2, "apart", "east"));
+            one.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.CONNECT_FAILED).advance(10 * SECOND);
+            tests += one.sent.size() - 1;
+        }
+        assertTrue(tests < 50, "tests of 100 relays in ten seconds: " + tests);
+    }
+
+    @Test
+    void refusedMessagesOfAFleetComeBackSpread() {
+        int soon = 0;
+        for (int seed = 0; seed < 100; seed++) {
+            SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, seed)).receiveFullList(route("c", 2, "apart", "east"));
+            one.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.FULL).advance(7 * SECOND);
+            soon += one.sent.size() - 1;
+        }
+        assertTrue(soon > 20 && soon < 80, "back within seven seconds: " + soon);
+    }
+
+    @Test
+    void relayOfALargeFleetThatCallsSeldomGoesSlowerAfterItsFirstRefusal() {
+        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, 7)).receiveFullList(route("c", 2, "apart", "east")).advance(40 * SECOND);
+        one.accept(1, "safe", 2).advance(SECOND / 2).answer(1, Result.FULL).advance(8 * SECOND);
+        assertEquals(1, one.sent.size(), "one call in ten seconds was too many");
+        one.advance(20 * SECOND);
+        assertEquals(2, one.sent.size());
+    }
+
+    @Test
+    void oneServeAfterALongRestAloneRaisesThePaceOnlyALittle() {
+        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, 7)).receiveFullList(route("c", 2, "apart", "east"));
+        for (int id = 1; id <= 10; id++) {
+            one.accept(id, "safe", 2).advance(SECOND).answer(id, Result.OK);
+        }
+        one.accept(100, "safe", 2).advance(SECOND).answer(100, Result.FULL);
+        for (int id = 101; id <= 110; id++) {
+            one.runRound(new Policy.RequestAccepted(id, "safe", null, null, one.now + 300 * SECOND, 2));
+        }
+        one.sent.clear();
+        for (int serves = 0; serves < 8;) {
+            one.advance(100 * MILLISECOND);
+            serves += one.unanswered.size();
+            List.copyOf(one.unanswered).forEach(sent -> one.answer(sent.id(), Result.OK));
+        }
+        for (int i = 2; i < one.sent.size(); i++) {
+            double gap = one.sent.get(i).sentAt() - one.sent.get(i - 1).sentAt();
+            double before = one.sent.get(i - 1).sentAt() - one.sent.get(i - 2).sentAt();
+            assertTrue(before / gap < 1.4, "from one call in " + before + " us to one in " + gap);
+        }
+    }
+
+    @Test
+    void paceIsCutByRefusalsAndRegrowsWhileServed() {
+        for (int i = 0; i < 4; i++) {
+            relay.accept(i, "safe", 2).advance(MILLISECOND).answer(i, Result.FULL).advance(8 * SECOND).answer(i, Result.OK);
+        }
+        long cut = measureSendSpacing(5);
+        for (int id = 10; id < 40; id++) {
+            relay.accept(id, "safe", 2).advance(3 * SECOND).answer(id, Result.OK);
+        }
+        long regrown = measureSendSpacing(50);
+        assertTrue(cut > 100 * MILLISECOND && regrown < cut / 2, "cut " + cut + ", regrown " + regrown);
+    }
+
+    /** How far two messages accepted at once leave from one another. */
+    private long measureSendSpacing(int id) {
+        relay.sent.clear();
+        relay.accept(id, "safe", 2).accept(id + 1, "safe", 2).advance(10 * SECOND);
+        relay.answer(id, Result.OK).answer(id + 1, Result.OK);
+        return relay.sent.get(1).sentAt() - relay.sent.get(0).sentAt();
+    }
+
+    @Test
+    void youngRelayCutsItsPaceByWhatItWasServedNotByTenSeconds() {
+        for (int id = 1; id <= 30; id++) {
+            relay.accept(id, "safe", 2).advance(50 * MILLISECOND).answer(id, Result.OK);
+        }
+        relay.accept(40, "safe", 2).advance(50 * MILLISECOND).answer(40, Result.FULL).advance(2 * SECOND);
+        int before = relay.sent.size();
+        for (int id = 50; id <= 80; id++) {
+            relay.accept(id, "safe", 2).advance(50 * MILLISECOND);
+            while (!relay.unanswered.isEmpty()) {
+                relay.answer(relay.unanswered.get(0).id(), Result.OK);
+            }
+        }
+        int sent = relay.sent.size() - before;
+        assertTrue(sent > 6, "twenty a second were served, sent after the cut: " + sent + " in 1.5 s");
+    }
+
+    @Test
+    void youngRelayThatCallsOftenOpensNothingAtOneFailure() {
+        relay.accept(1, "safe", 2).advance(50 * MILLISECOND).answer(1, Result.OK);
+        relay.accept(2, "safe", 2).advance(50 * MILLISECOND).answer(2, Result.OK);
+        relay.accept(3, "safe", 2).advance(50 * MILLISECOND).answer(3, Result.ERROR);
+        assertTrue(relay.logLines.isEmpty(), relay.logLines.toString());
+    }
+
+    @Test
+    void failedTestReopens() {
+        openCircuitOfRouteC();
+        relay.accept(10, "safe", 2).advance(6 * SECOND).answer(10, Result.CONNECT_FAILED).advance(SECOND);
+        assertEquals(1, relay.countSends(10));
+    }
+
+    @Test
+    void releaseStaysWithinTheBudgetOfTheRule() {
+        relay.advance(10 * SECOND); // calls are known for as long as their rate looks back
+        openCircuitOfRouteC();
+        for (int id = 10; id < 60; id++) {
+            relay.accept(id, "safe", 2);
+        }
+        relay.advance(6 * SECOND).answer(relay.unanswered.get(0).id(), Result.OK);
+        int before = relay.sent.size();
+        for (int i = 0; i < 20; i++) {
+            relay.advance(100 * MILLISECOND);
+            List.copyOf(relay.unanswered).forEach(s -> relay.answer(s.id(), Result.OK));
+        }
+        assertTrue(relay.sent.size() - before <= 2, "sent on release: " + (relay.sent.size() - before));
+    }
+
+    @Test
+    void testsPreferWhatLosesLeast() {
+        openCircuitOfRouteC();
+        relay.accept(10, "once", 2).accept(11, "safe", 2).advance(6 * SECOND);
+        assertEquals(0, relay.countSends(10));
+        assertEquals(1, relay.countSends(11));
+        assertTrue(relay.probedRoutes.isEmpty());
+    }
+
+    @Test
+    void onceAloneIsTestedByProbe() {
+        openCircuitOfRouteC();
+        relay.accept(10, "once", 2).advance(6 * SECOND);
+        assertEquals(List.of("c"), relay.probedRoutes);
+        assertEquals(0, relay.countSends(10));
+    }
+
+    @Test
+    void silenceOpensBeforeThreeTimeouts() {
+        for (int id = 0; id < 4; id++) {
+            relay.accept(id, "once", 2).advance(100 * MILLISECOND);
+        }
+        relay.advance(3 * SECOND).accept(9, "safe", 2).advance(900 * MILLISECOND);
+        assertEquals(0, relay.countSends(9));
+        assertEquals(List.of("out: c, silent"), relay.logLines);
+    }
+
+    @Test
+    void refusalsWithoutAServeOpenAsShut() {
+        relay.accept(1, "safe", 2);
+        for (int i = 0; i < 3; i++) {
+            relay.answer(1, Result.FULL).advance(1500 * MILLISECOND);
+        }
+        assertEquals(List.of("out: c"), relay.logLines);
+    }
+
+    @Test
+    void refusalCutsThePaceNotTheCircuit() {
+        relay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.FULL);
+        relay.accept(2, "safe", 2).advance(300 * MILLISECOND);
+        assertEquals(1, relay.sent.size());
+        relay.advance(SECOND);
+        assertTrue(relay.sent.size() >= 2);
+        assertTrue(relay.logLines.isEmpty());
+    }
+
+    @Test
+    void toldWaitHoldsTheWholeSharedGroup() {
+        relay.accept(1, "safe", 1).advance(MILLISECOND).answer(1, Result.FULL, 2 * SECOND).accept(2, "safe", 1).advance(1999 * MILLISECOND);
+        assertEquals(1, relay.sent.size());
+    }
+
+    @Test
+    void waitToldToALaterRequestOfOneCallIsHeeded() {
+        relay.accept(1, "safe", 3).advance(MILLISECOND).answer(1, Result.FULL);
+        relay.accept(2, "safe", 3).accept(3, "safe", 3).advance(1100 * MILLISECOND);
+        assertEquals(4, relay.sent.size(), "three in one call");
+        relay.answer(1, Result.FULL).answer(2, Result.FULL, 2 * SECOND).advance(1990 * MILLISECOND);
+        assertEquals(4, relay.sent.size());
+    }
+
+    @Test
+    void onceThatMayHaveRunFails() {
+        relay.accept(1, "once", 1).advance(MILLISECOND).answer(1, Result.ERROR);
+        assertEquals(List.of(1L), relay.failed);
+        assertEquals(1, relay.countSends(1));
+    }
+
+    @Test
+    void keyedMessageThatMayHaveRunEndsAsItsWindowPasses() {
+        relay.accept(1, "keyed", 2).receiveFullList(route("a", 1, "plain", "east")).answer(1, Result.RESET);
+        relay.advance(5_900 * MILLISECOND);
+        assertEquals(List.of(), relay.failed);
+        relay.advance(200 * MILLISECOND);
+        assertEquals(List.of(1L), relay.failed, "no attempt is allowed any more");
+        assertEquals(List.of(), relay.refused, "its client would hand it in again");
+    }
+
+    @Test
+    void keyedRepeatStaysInItsZoneAndWindow() {
+        for (int id = 1_000; id < 1_016; id++) {
+            relay.accept(id, "safe", 1).advance(MILLISECOND).answer(id, Result.OK);
+        }
+        relay.sent.clear();
+        relay.accept(1, "keyed", 1).advance(MILLISECOND);
+        String first = relay.sent.get(0).route();
+        relay.answer(1, Result.RESET).advance(100 * MILLISECOND);
+        assertEquals(2, relay.countSends(1));
+        assertEquals(first, relay.sent.get(1).route());
+        relay.advance(7 * SECOND).answer(1, Result.RESET).advance(SECOND);
+        assertEquals(2, relay.countSends(1));
+    }
+
+    @Test
+    void nothingGoesToDrainingRemovedOrMissingRoutes() {
+        relay.receiveListChanges(new ListedRoute("a", 1, "plain", "east", Availability.DRAINING, 0),
+                new ListedRoute("b", 1, "plain", "west", Availability.REMOVED, 0));
+        relay.receiveFullList(route("a2", 5, "plain", "east"));
+        relay.accept(1, "safe", 1).accept(2, "safe", 2).advance(SECOND);
+        assertEquals(0, relay.sent.size());
+    }
+
+    @Test
+    void keysGoOneByOneAndRestAfterATimeout() {
+        relay.accept(1, "ordered", 1, "k").accept(2, "ordered", 1, "k").advance(SECOND);
+        assertEquals(0, relay.countSends(2));
+        relay.answer(1, Result.TIMEOUT).advance(10 * MILLISECOND).answer(1, Result.OK).advance(2900 * MILLISECOND);
+        assertEquals(0, relay.countSends(2), "the key rests");
+        relay.advance(200 * MILLISECOND);
+        assertEquals(1, relay.countSends(2));
+    }
+
+    @Test
+    void fullBufferRefusesTheLeastWorthThatMayBeRefused() {
+        SimulatedRelay small = new SimulatedRelay(SimulatedRelay.settings(4, 3)).receiveFullList(route("c", 2, "apart", "east"));
+        small.accept(1, "safe", 7).accept(2, "safe", 7).accept(3, "safe", 7);
+        assertEquals(1, small.refused.size());
+    }
+
+    @Test
+    void noDestinationTakesEverySlot() {
+        for (int id = 0; id < 10; id++) {
+            relay.accept(id, "safe", 1);
+        }
+        relay.accept(50, "safe", 2);
+        assertEquals(5, relay.sent.stream().filter(s -> s.id() < 10).count());
+        assertEquals(1, relay.countSends(50));
+    }
+
+    @Test
+    void mostCallsFailingOpensThoughNoneInARowDo() {
+        makeFrequentCalls();
+        for (int id = 1; id < 30 && relay.logLines.isEmpty(); id++) {
+            relay.accept(id, "safe", 2).advance(MILLISECOND);
+            relay.answer(id, id % 3 == 0 ? Result.OK : Result.ERROR);
+        }
+        assertEquals(List.of("out: c"), relay.logLines);
+    }
+
+    @Test
+    void nearRoutesAreTakenMoreOftenButNotAlone() {
+        for (int id = 0; id < 400; id++) {
+            relay.accept(id, "safe", 1).advance(10 * MILLISECOND).answer(id, Result.OK);
+        }
+        long near = relay.sent.stream().filter(s -> s.route().equals("a")).count();
+        assertTrue(near > 200 && near < 260, "near: " + near);
+    }
+
+    @Test
+    void quickRoutesAreDrawnMoreOftenWhileSlotsAreScarce() {
+        SimulatedRelay busy = new SimulatedRelay(SimulatedRelay.settings(10, 1000)).receiveFullList(route("a", 1, "plain", "east"),
+                route("b", 1, "plain", "west"), route("e", 4, "plain", "east"), route("f", 5, "plain", "east"),
+                route("g", 6, "plain", "east"), route("h", 7, "plain", "east"));
+        long[] even = countCallsPerRoute(busy, 0);
+        for (int destination = 4; destination <= 7; destination++) {
+            busy.accept(2 * destination, "once", destination).accept(2 * destination + 1, "once", destination);
+        }
+        long[] scarce = countCallsPerRoute(busy, 1000);
+        assertTrue(even[1] * 3 > even[0], "drawn by score: " + even[0] + " to " + even[1]);
+        assertTrue(scarce[1] * 3 < scarce[0], "by score over time: " + scarce[0] + " to " + scarce[1]);
+    }
+
+    /** How many calls go to a quick and to a slow route within two seconds. */
+    private static long[] countCallsPerRoute(SimulatedRelay one, int firstId) {
+        one.sent.clear();
+        for (int id = firstId + 100; id < firstId + 300; id++) {
+            one.accept(id, "safe", 1).advance(10 * MILLISECOND);
+            answerOlderThan(one, "a", 20 * MILLISECOND);
+            answerOlderThan(one, "b", 200 * MILLISECOND);
+        }
+        return new long[] {one.sent.stream().filter(s -> s.route().equals("a")).count(),
+            one.sent.stream().filter(s -> s.route().equals("b")).count()};
+    }
+
+    private static void answerOlderThan(SimulatedRelay one, String route, long age) {
+        List.copyOf(one.unanswered).stream().filter(s -> s.route().equals(route) && one.now - s.sentAt() >= age)
+                .forEach(s -> one.answer(s.id(), Result.OK));
+    }
+
+    @Test
+    void whatLosesMostByWaitingGoesFirst() {
+        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.settings(1, 100)).receiveFullList(route("a", 1, "plain", "east"));
+        one.accept(1, "safe", 1).accept(2, "safe", 1).advance(SECOND).accept(3, "quick", 1).answer(1, Result.OK);
+        assertEquals(3, one.sent.get(1).id());
+    }
+
+    @Test
+    void refusalIsToldToTheKeeperOfTheDestination() {
+        SimulatedRelay peer = createRelayWithPeer();
+        peer.accept(1, "safe", 1).advance(MILLISECOND).answer(1, Result.FULL);
+        assertEquals(List.of("1:" + noteHex(PeerNoteType.CALL_REFUSED)), peer.sentNotes);
+    }
+
+    @Test
+    void guardedDestinationIsCalledByTurns() {
+        SimulatedRelay peer = createRelayWithPeer();
+        peer.runRound(receivedNote(PeerNoteType.COORDINATION_START)).accept(1, "safe", 1).accept(2, "safe", 1).advance(SECOND);
+        assertEquals(0, peer.sent.size());
+        peer.runRound(receivedNote(PeerNoteType.TOKEN_GRANT));
+        assertEquals(1, peer.sent.size());
+        assertEquals(List.of("1:" + noteHex(PeerNoteType.TOKEN_REQUEST), "1:" + noteHex(PeerNoteType.TOKEN_REQUEST)), peer.sentNotes);
+    }
+
+    @Test
+    void lostTurnCostsAFewSecondsOnly() {
+        SimulatedRelay peer = createRelayWithPeer();
+        peer.runRound(receivedNote(PeerNoteType.COORDINATION_START)).accept(1, "safe", 1).advance(9 * SECOND);
+        assertEquals(1, peer.sent.size());
+    }
+
+    @Test
+    void keeperGivesTurnsOneAtATime() {
+        SimulatedRelay keeper = createRelayWithPeer();
+        for (int from = 1; from <= 60; from++) {
+            keeper.runRound(new Policy.PeerNote(from, noteBytes(PeerNoteType.CALL_REFUSED, 2)));
+        }
+        keeper.advance(5 * SECOND);
+        long turns = keeper.sentNotes.stream().filter(t -> t.endsWith(HexFormat.of().formatHex(noteBytes(PeerNoteType.TOKEN_GRANT, 2)))).count();
+        assertTrue(turns >= 5 && turns <= 20, "turns in five seconds: " + turns);
+    }
+
+    @Test
+    void garbageInNotesDoesNoHarm() {
+        SimulatedRelay peer = createRelayWithPeer();
+        peer.runRound(new Policy.PeerNote(1, new byte[0]), new Policy.PeerNote(1, new byte[] {9, 0, 0, 0, 1}),
+                new Policy.PeerNote(1, new byte[] {-1, 0, 0, 0, 1}), new Policy.PeerNote(1, new byte[256]));
+        peer.accept(1, "safe", 1);
+        assertEquals(1, peer.countSends(1));
+    }
+
+    @Test
+    void reportedLimitOfNothingIsNoLimit() {
+        relay.accept(1, "safe", 2).advance(MILLISECOND);
+        relay.runRound(new Policy.AttemptEnded(1, 0, "c", Result.FULL, false, 0, MILLISECOND, new Policy.LimitReport(0, 0)));
+        relay.advance(3 * SECOND);
+        assertEquals(2, relay.countSends(1));
+    }
+
+    @Test
+    void routeListedAndRemovedInOneRoundIsNotUsed() {
+        relay.runRound(new Policy.RouteListUpdate(Policy.RouteListUpdateType.CHANGES, 2, List.of(route("n", 9, "plain", "east"))),
+                new Policy.RouteListUpdate(Policy.RouteListUpdateType.CHANGES, 3, List.of(
+                        new ListedRoute("n", 9, "plain", "east", Availability.REMOVED, 0))),
+                new Policy.RequestAccepted(1, "safe", null, null, 20 * SECOND, 9));
+        assertEquals(0, relay.sent.size());
+    }
+
+    @Test
+    void aRelayAloneAndOneOfFourHundredServe() {
+        for (int size : new int[] {1, 400}) {
+            SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(size, 3)).receiveFullList(route("c", 2, "apart", "east"));
+            one.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.OK);
+            assertEquals(1, one.countSends(1));
+        }
+    }
+
+    private static SimulatedRelay createRelayWithPeer() {
+        return new SimulatedRelay(SimulatedRelay.settingsWithPeers(2)).receiveFullList(route("a", 1, "plain", "east"), route("b", 2, "plain", "east"));
+    }
+
+    private static Policy.PeerNote receivedNote(PeerNoteType word) {
+        return new Policy.PeerNote(1, noteBytes(word, 1));
+    }
+
+    private static String noteHex(PeerNoteType word) {
+        return HexFormat.of().formatHex(noteBytes(word, 1));
+    }
+
+    private static byte[] noteBytes(PeerNoteType word, int number) {
+        return ByteBuffer.allocate(5).put((byte) word.ordinal()).putInt(number).array();
+    }
+
+    @Test
+    void asksForTheListAtOnceAndAgainAfterEachFailureInTime() {
+        SimulatedRelay asking = new SimulatedRelay(SimulatedRelay.settings(4, 10, true)).receiveFullList();
+        assertEquals(List.of(0L), asking.subscribedAt);
+        for (int failure = 1; failure <= 5; failure++) {
+            asking.runRound(new Policy.RouteListUpdate(Policy.RouteListUpdateType.FAILED, 0, List.of())).advance(10 * SECOND);
+            assertEquals(failure + 1, asking.subscribedAt.size(), "asked within the rule's span");
+        }
+    }
+
+    @Test
+    void settingsWithoutSenseNameTheField() {
+        var thrown = assertThrows(IllegalArgumentException.class, () -> SimulatedRelay.settings(0, 5));
+        assertTrue(thrown.getMessage().contains("callSlots"));
+    }
+
+    /** So many served calls to route c that it is called often. */
+    private void makeFrequentCalls() {
+        for (int id = 1_000; id < 1_008; id++) {
+            relay.accept(id, "safe", 2).advance(MILLISECOND).answer(id, Result.OK);
+        }
+        relay.sent.clear();
+    }
+
+    private void openCircuitOfRouteC() {
+        makeFrequentCalls();
+        for (int id = 1; id <= 3; id++) {
+            relay.accept(id, "once", 2).advance(MILLISECOND).answer(id, Result.ERROR);
+        }
+        assertEquals(List.of("out: c"), relay.logLines);
+    }
+
+    private void resume(long id, String type, Policy.PastAttempt... past) {
+        relay.runRound(new Policy.RequestResumed(new Policy.RequestAccepted(id, type, null, null, relay.now + 15 * SECOND, 1),
+                List.of(past)));
+    }
+
+    @Test
+    void resumedOnceWithAnUnknownAttemptFailsAtOnce() {
+        resume(1, "once", new Policy.PastAttempt("a", relay.now - SECOND, null));
+        assertEquals(List.of(1L), relay.failed);
+        assertEquals(0, relay.countSends(1));
+    }
+
+    @Test
+    void resumedOnceWhoseAttemptsNeverRanIsSentAgain() {
+        resume(1, "once", new Policy.PastAttempt("a", relay.now - SECOND, Result.FULL));
+        assertEquals(1, relay.countSends(1));
+    }
+
+    @Test
+    void resumedKeyedKeepsToItsZoneAndWindow() {
+        for (int id = 0; id < 4; id++) {
+            resume(id, "keyed", new Policy.PastAttempt("b", relay.now - SECOND, null));
+        }
+        assertEquals(4, relay.sent.size());
+        assertTrue(relay.sent.stream().allMatch(s -> s.route().equals("b")));
+        resume(30, "keyed", new Policy.PastAttempt("b", relay.now - 7 * SECOND, null));
+        resume(31, "keyed", new Policy.PastAttempt("left the list", relay.now - SECOND, null));
+        relay.advance(SECOND);
+        assertEquals(0, relay.countSends(30) + relay.countSends(31));
+        relay.advance(15 * SECOND);
+        assertTrue(relay.failed.containsAll(List.of(30L, 31L)));
+    }
+
+    @Test
+    void attemptsBeforeARestartCountOn() {
+        Policy.PastAttempt past = new Policy.PastAttempt("a", relay.now - SECOND, Result.FULL);
+        resume(1, "safe", past, past, past, past, past, past);
+        assertEquals(0, relay.countSends(1));
+        assertEquals(List.of(1L), relay.refused);
+    }
+
+    @Test
+    void waitToldToAProbeBindsCalls() {
+        relay.runRound(new Policy.ProbeEnded("a", Result.FULL, SECOND, MILLISECOND, Policy.LimitReport.NONE)).accept(1, "safe", 1);
+        relay.advance(SECOND - MILLISECOND);
+        assertEquals(0, relay.countSends(1));
+    }
+
+    @Test
+    void unansweredCallGivesWayEarlyWhereAnotherAttemptMayFollow() {
+        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(2, 50)).receiveFullList(route("a", 1, "plain", "east"),
+                route("d", 3, "bulk", "east"), route("e", 4, "plain", "east"));
+        narrow.accept(1, "safe", 1).accept(2, "once", 3).advance(MILLISECOND).accept(3, "safe", 4).advance(1200 * MILLISECOND);
+        assertTrue(narrow.cancelled.isEmpty(), "the usual response is not known to be short yet");
+        narrow.advance(900 * MILLISECOND);
+        assertEquals(List.of(1L), narrow.cancelled, "the other may be sent once");
+    }
+
+    @Test
+    void unansweredCallLeavesSoonerWhileAnswersProveLost() {
+        assertEquals(List.of(100L), cancelledAfterUnanswered(true, "safe"));
+    }
+
+    @Test
+    void unansweredCallThatMayGoOnceAlsoLeavesSoonerThen() {
+        assertEquals(List.of(100L), cancelledAfterUnanswered(true, "once"));
+    }
+
+    @Test
+    void callsThatNothingWasAnsweredSinceProveNoAnswerLost() {
+        assertEquals(List.of(), cancelledAfterUnanswered(false, "safe"));
+    }
+
+    /** What a relay with four slots gives up within 0.7 s once others want them, after five calls had no answer. */
+    private static List<Long> cancelledAfterUnanswered(boolean answeredSince, String type) {
+        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(4, 50)).receiveFullList(route("a", 1, "plain", "east"),
+                route("d", 3, "plain", "east"), route("e", 4, "plain", "east"), route("f", 5, "plain", "east"),
+                route("g", 6, "plain", "east"));
+        for (int lost = 0; lost < 10; lost += 2) {
+            int other = lost + 1;
+            if (answeredSince) {
+                narrow.accept(lost, "once", 1);
+            }
+            narrow.advance(MILLISECOND).accept(other, "safe", 1).advance(50 * MILLISECOND).answer(other, Result.OK);
+            if (!answeredSince) {
+                narrow.advance(MILLISECOND).accept(lost, "once", 1);
+            }
+            narrow.advance(SECOND).answer(lost, Result.TIMEOUT);
+        }
+        narrow.accept(100, type, 1).accept(101, "once", 3).accept(102, "once", 4).accept(103, "once", 5).advance(MILLISECOND);
+        narrow.accept(104, "safe", 6).advance(700 * MILLISECOND);
+        return narrow.cancelled;
+    }
+
+    @Test
+    void anotherProcessGoesOnWithWaitsCircuitsAndSlots() {
+        relay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.FULL, 5 * SECOND);
+        openCircuitOfRouteA();
+        SimulatedRelay heir = new SimulatedRelay(SimulatedRelay.settings()).receiveFullList(route("a", 1, "plain", "east"),
+                route("c", 2, "apart", "east"), route("d", 3, "bulk", "east"));
+        heir.now = relay.now;
+        heir.runRound(new Policy.LearnedStateRestored(relay.module().encodeLearnedState(), 7));
+        heir.accept(20, "safe", 2).accept(21, "safe", 1).accept(22, "safe", 3).advance(MILLISECOND);
+        assertEquals(0, heir.countSends(20), "the wait told to the other process holds");
+        assertEquals(0, heir.countSends(21), "the circuit stays open");
+        assertEquals(1, heir.countSends(22));
+        assertEquals(heir.module().countUnavailableRoutes(heir.now), 2);
+    }
+
+    private void openCircuitOfRouteA() {
+        relay.receiveListChanges(new ListedRoute("b", 1, "plain", "west", Availability.REMOVED, 0));
+        relay.accept(100, "safe", 1).advance(MILLISECOND);
+        while (relay.module().countUnavailableRoutes(relay.now) < 2) {
+            relay.answer(100, Result.CONNECT_FAILED).advance(MILLISECOND);
+        }
+    }
+
+    @Test
+    void callsOutAtAnotherProcessHoldSlotsUntilItHasEnded() {
+        SimulatedRelay heir = new SimulatedRelay(SimulatedRelay.settings(2, 50)).receiveFullList(route("d", 3, "bulk", "east"),
+                route("a", 1, "plain", "east"));
+        heir.runRound(new Policy.LearnedStateRestored(new byte[0], 2));
+        heir.accept(1, "safe", 3).advance(MILLISECOND);
+        assertEquals(0, heir.countSends(1));
+        heir.runRound(new Policy.PredecessorCallEnded("d", Result.OK, 0, MILLISECOND, 1));
+        assertEquals(1, heir.countSends(1));
+        heir.accept(2, "safe", 1).advance(MILLISECOND);
+        assertEquals(0, heir.countSends(2));
+        heir.runRound(new Policy.PredecessorEnded());
+        assertEquals(1, heir.countSends(2));
+    }
+
+    @Test
+    void connectionsThatAreTakenCutNoPaceAndAreLeftToOthersForAMoment() {
+        makeFrequentCalls();
+        relay.accept(300, "safe", 2).advance(MILLISECOND).answer(300, Result.CROWDED);
+        assertEquals(1, relay.countSends(300), "not at once");
+        relay.advance(SECOND);
+        assertEquals(2, relay.countSends(300));
+        relay.answer(300, Result.OK).sent.clear();
+        relay.accept(301, "safe", 2).accept(302, "safe", 2).accept(303, "safe", 2);
+        assertEquals(3, relay.sent.size(), "no pace holds them");
+        assertTrue(relay.logLines.isEmpty(), relay.logLines.toString());
+    }
+
+    @Test
+    void repeatHasToLeaveWithinTheWindowOfItsKey() {
+        makeFrequentCalls();
+        relay.latestSendTimes.clear();
+        relay.accept(300, "keyed", 2);
+        long first = relay.now;
+        relay.advance(MILLISECOND).answer(300, Result.ERROR).advance(SECOND);
+        assertEquals(List.of(Long.MAX_VALUE, first + 6 * SECOND), relay.latestSendTimes);
+    }
+
+    @Test
+    void refusalCutsThePaceByThePartThatWasRefused() {
+        SimulatedRelay one = createRelayServedTwentyPerSecond(SimulatedRelay.settings());
+        one.accept(100, "safe", 1).advance(50 * MILLISECOND).answer(100, Result.FULL).advance(SECOND);
+        long sent = countSendsInOneSecond(one, 200);
+        assertTrue(sent >= 14 && sent < 30, "twenty a second were served and one was refused, sent: " + sent);
+    }
+
+    @Test
+    void rowOfRefusalsIsRegainedWithinSeconds() {
+        SimulatedRelay one = createRelayServedTwentyPerSecond(SimulatedRelay.settings());
+        one.accept(100, "safe", 1).advance(50 * MILLISECOND);
+        for (int i = 0; i < 3; i++) {
+            one.answer(100, Result.FULL);
+            while (one.unanswered.isEmpty()) {
+                one.advance(600 * MILLISECOND);
+            }
+        }
+        long cut = countSendsInOneSecond(one, 200);
+        countSendsInOneSecond(one, 300);
+        countSendsInOneSecond(one, 400);
+        long regained = countSendsInOneSecond(one, 500);
+        assertTrue(cut < 10 && regained >= 12, "sent in the first second " + cut + ", in the fourth " + regained);
+    }
+
+    @Test
+    void fleetThatIsRefusedGoesBelowAnyLimitWhateverTheQuotas() {
+        Policy.Settings plain = SimulatedRelay.fleetSettings(14, 7);
+        SimulatedRelay one = new SimulatedRelay(new Policy.Settings(7, 0, 14, "east", plain.classes(),
+                List.of(new Policy.Tenant("acme", 60)), plain.kinds(), plain.zones(), plain.limits(), plain.rules(), 1,
+                false, false, Policy.RateHint.NONE, 0)).receiveFullList(route("a", 1, "plain", "east"));
+        for (int id = 1; id <= 20; id++) {
+            one.accept(id, "safe", 1);
+        }
+        long before = 0;
+        while (one.now < 10 * SECOND) {
+            before = one.now < 5 * SECOND ? one.sent.size() : before;
+            one.advance(5 * MILLISECOND);
+            // One of three is served, so that it does not count as shut.
+            List.copyOf(one.unanswered).forEach(sent -> one.answer(sent.id(),
+                    one.sent.size() % 3 == 0 ? Result.OK : Result.FULL));
+        }
+        long late = one.sent.size() - before;
+        assertTrue(late <= 7, "calls of one in fourteen in the second five seconds: " + late);
+    }
+
+    private static SimulatedRelay createRelayServedTwentyPerSecond(Policy.Settings settings) {
+        SimulatedRelay one = new SimulatedRelay(settings).receiveFullList(route("a", 1, "plain", "east"));
+        for (int id = 1; id <= 60; id++) {
+            one.accept(id, "safe", 1).advance(50 * MILLISECOND).answer(id, Result.OK);
+        }
+        return one;
+    }
+
+    /** With more waiting than may go, each answered at once. */
+    private static long countSendsInOneSecond(SimulatedRelay one, int firstId) {
+        for (int id = firstId; id < firstId + 40; id++) {
+            one.accept(id, "safe", 1);
+        }
+        long from = one.now;
+        while (one.now < from + SECOND) {
+            one.advance(5 * MILLISECOND);
+            List.copyOf(one.unanswered).forEach(sent -> one.answer(sent.id(), Result.OK));
+        }
+        return one.sent.stream().filter(sent -> sent.sentAt() >= from && sent.sentAt() < from + SECOND).count();
+    }
+}
--- /dev/null
+++ b/src/test/java/drumdeal/FleetPacingTest.java
@@ -0,0 +1,85 @@
+package drumdeal;
+
+import static drumdeal.SimulatedRelay.MILLISECOND;
+import static drumdeal.SimulatedRelay.SECOND;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import drumdeal.Policy.Availability;
+import drumdeal.Policy.RateHint;
+import drumdeal.Policy.Result;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** What a hundred relays together get served at a destination that takes so many calls in each second. */
+class FleetPacingTest {
+    private static final int RELAY_COUNT = 100;
+    private static final long STEP_MICROS = 10 * MILLISECOND;
+    private static final long DURATION_MICROS = 50 * SECOND;
+    private static final long RESPONSE_TIME_MICROS = 250 * MILLISECOND;
+    private static final long REFUSAL_TIME_MICROS = 40 * MILLISECOND;
+    /** Of the refusals, how many tell how long to wait: until the oldest call counted is a second old. */
+    private static final double RETRY_AFTER_SHARE = 0.6;
+
+    private static final double MIN_SERVED_SHARE = 0.7;
+    private static final double MIN_SERVED_SHARE_WHERE_REFUSALS_COUNT = 0.5;
+
+    private final List<PendingAnswer> pendingAnswers = new ArrayList<>();
+    private final ArrayDeque<Long> countedCallTimes = new ArrayDeque<>();
+    private int servedCount;
+    private int refusedCount;
+
+    private record PendingAnswer(SimulatedRelay relay, SimulatedRelay.SentAttempt sent, long dueAt, Result result, long retryAfter) { }
+
+    @ParameterizedTest
+    @CsvSource({"3,0.8,NOMINAL,false", "3,0.8,NONE,false", "10,0.8,NOMINAL,false", "10,0.8,NONE,false", "30,0.8,NOMINAL,false", "30,0.8,NONE,false",
+        "3,1.3,NOMINAL,false", "3,1.3,NONE,false", "10,1.3,NOMINAL,false", "10,1.3,NONE,false", "30,1.3,NOMINAL,false", "30,1.3,NONE,false",
+        "10,0.8,NOMINAL,true", "10,0.8,NONE,true", "10,1.3,NOMINAL,true", "10,1.3,NONE,true", "30,1.3,NOMINAL,true", "30,1.3,NONE,true"})
+    void mostOfWhatTheDestinationTakesIsServed(int limit, double load, RateHint hint, boolean refusalsCount) {
+        Policy.ListedRoute listed = new Policy.ListedRoute("a", 1, "plain", "east", Availability.LISTED, limit);
+        SimulatedFleet fleet = new SimulatedFleet(RELAY_COUNT, 5, i -> new SimulatedRelay(settings(i, hint)).receiveFullList(listed));
+        double probability = limit * load / RELAY_COUNT * STEP_MICROS / SECOND;
+        for (long now = 0; now < DURATION_MICROS; now += STEP_MICROS) {
+            pendingAnswers.removeIf(this::answerIfDue);
+            for (int i = 0; i < RELAY_COUNT; i++) {
+                long at = now;
+                SimulatedRelay relay = fleet.relays.get(i);
+                relay.advance(now - relay.now);
+                fleet.stepRelay(i, probability, (from, sent) -> handleArrival(fleet, from, sent, at, limit, refusalsCount));
+            }
+        }
+        double possible = Math.min(1, load) * limit * DURATION_MICROS / SECOND;
+        double least = refusalsCount ? MIN_SERVED_SHARE_WHERE_REFUSALS_COUNT : MIN_SERVED_SHARE;
+        assertTrue(servedCount >= least * possible, "served " + servedCount + " of " + possible + ", refused " + refusedCount);
+    }
+
+    private boolean answerIfDue(PendingAnswer answer) {
+        if (answer.dueAt > answer.relay.now) {
+            return false;
+        }
+        answer.relay.answer(answer.sent.id(), answer.result, answer.retryAfter);
+        return true;
+    }
+
+    private void handleArrival(SimulatedFleet fleet, SimulatedRelay relay, SimulatedRelay.SentAttempt sent, long now, int limit, boolean refusalsCount) {
+        while (!countedCallTimes.isEmpty() && countedCallTimes.peek() <= now - SECOND) {
+            countedCallTimes.remove();
+        }
+        boolean taken = countedCallTimes.size() < limit;
+        if (taken || refusalsCount) {
+            countedCallTimes.add(now);
+        }
+        servedCount += taken ? 1 : 0;
+        refusedCount += taken ? 0 : 1;
+        long wait = !taken && fleet.random.nextDouble() < RETRY_AFTER_SHARE ? countedCallTimes.peek() + SECOND - now : 0;
+        pendingAnswers.add(new PendingAnswer(relay, sent, now + (taken ? RESPONSE_TIME_MICROS : REFUSAL_TIME_MICROS), taken ? Result.OK : Result.FULL, wait));
+    }
+
+    private static Policy.Settings settings(long seed, RateHint hint) {
+        Policy.Settings fleet = SimulatedRelay.fleetSettings(RELAY_COUNT, seed);
+        return new Policy.Settings(seed, 0, RELAY_COUNT, fleet.zone(), fleet.classes(), fleet.tenants(), fleet.kinds(), fleet.zones(),
+                fleet.limits(), fleet.rules(), 1, false, false, hint, 0);
+    }
+}
--- a/src/test/java/drumdeal/ShortDeadlineTest.java
+++ b/src/test/java/drumdeal/ShortDeadlineTest.java
@@ -1,12 +1,12 @@
 package drumdeal;
 
-import static drumdeal.Relay.MS;
-import static drumdeal.Relay.S;
-import static drumdeal.Relay.route;
+import static drumdeal.SimulatedRelay.MILLISECOND;
+import static drumdeal.SimulatedRelay.SECOND;
+import static drumdeal.SimulatedRelay.route;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import drumdeal.Policy.KeyScope;
-import drumdeal.Policy.Repeat;
+import drumdeal.Policy.Idempotency;
 import drumdeal.Policy.RequestClass;
 import drumdeal.Policy.Result;
 import java.util.ArrayList;
@@ -17,37 +17,37 @@
 
 /** A customer whose messages have far less time than spans that suit others. */
 class ShortDeadlineTest {
-    private static final long DEADLINE = 1200 * MS;
+    private static final long DEADLINE_MICROS = 1200 * MILLISECOND;
 
-    private Relay relay(Repeat repeat, RequestClass... others) {
-        Policy.Settings usual = Relay.settings();
+    private SimulatedRelay createRelay(Idempotency repeat, RequestClass... others) {
+        Policy.Settings usual = SimulatedRelay.settings();
         List<RequestClass> classes = new ArrayList<>(List.of(others));
-        classes.add(new RequestClass("brief", repeat, KeyScope.ALL, S, 400 * MS, DEADLINE, 1, 0.5, false));
-        return new Relay(new Policy.Settings(usual.seed(), 0, 2, "east", classes,
-                List.of(), usual.kinds(), usual.zones(), new Policy.Limits(10, 100, 6, true, false, false, false, false, S), usual.rules(), 1, false, false,
-                Policy.RateHint.NONE, 0)).list(route("a", 1, "plain", "east"));
+        classes.add(new RequestClass("brief", repeat, KeyScope.ALL, SECOND, 400 * MILLISECOND, DEADLINE_MICROS, 1, 0.5, false));
+        return new SimulatedRelay(new Policy.Settings(usual.seed(), 0, 2, "east", classes,
+                List.of(), usual.kinds(), usual.zones(), new Policy.Limits(10, 100, 6, true, false, false, false, false, SECOND), usual.rules(), 1, false, false,
+                Policy.RateHint.NONE, 0)).receiveFullList(route("a", 1, "plain", "east"));
     }
 
     @ParameterizedTest
     @EnumSource(names = "ONCE", mode = EnumSource.Mode.EXCLUDE)
-    void messageThatMayBeRepeatedGoesToAnotherRouteWhileThereIsTime(Repeat repeat) {
-        Relay relay = relay(repeat).list(route("a", 1, "plain", "east"), route("b", 1, "plain", "east"));
-        relay.round(new Policy.Accepted(1, "brief", null, "k", relay.now + DEADLINE, 1));
-        Relay.Sent silent = relay.sent.get(0);
-        assertTrue(silent.timeout() > 0 && silent.timeout() <= DEADLINE * 3 / 4, "waits for ms: " + silent.timeout() / MS);
-        relay.pass(silent.timeout());
+    void messageThatMayBeRepeatedGoesToAnotherRouteWhileThereIsTime(Idempotency repeat) {
+        SimulatedRelay relay = createRelay(repeat).receiveFullList(route("a", 1, "plain", "east"), route("b", 1, "plain", "east"));
+        relay.runRound(new Policy.RequestAccepted(1, "brief", null, "k", relay.now + DEADLINE_MICROS, 1));
+        SimulatedRelay.SentAttempt silent = relay.sent.get(0);
+        assertTrue(silent.timeout() > 0 && silent.timeout() <= DEADLINE_MICROS * 3 / 4, "waits for ms: " + silent.timeout() / MILLISECOND);
+        relay.advance(silent.timeout());
         relay.answer(1, Result.TIMEOUT);
         assertTrue(relay.sent.size() == 2 && !relay.sent.get(1).route().equals(silent.route()), relay.sent.toString());
     }
 
-    private static void pass(Relay relay, long span, boolean answers) {
+    private static void advanceAndAnswer(SimulatedRelay relay, long span, boolean answers) {
         for (long end = relay.now + span; relay.now < end;) {
-            relay.pass(50 * MS);
-            for (Relay.Sent sent : List.copyOf(relay.unanswered)) {
-                long timeout = sent.timeout() == 0 ? DEADLINE : Math.min(sent.timeout(), DEADLINE);
-                if (answers && relay.now - sent.at() >= 100 * MS) {
+            relay.advance(50 * MILLISECOND);
+            for (SimulatedRelay.SentAttempt sent : List.copyOf(relay.unanswered)) {
+                long timeout = sent.timeout() == 0 ? DEADLINE_MICROS : Math.min(sent.timeout(), DEADLINE_MICROS);
+                if (answers && relay.now - sent.sentAt() >= 100 * MILLISECOND) {
                     relay.answer(sent.id(), Result.OK);
-                } else if (relay.now - sent.at() >= timeout) {
+                } else if (relay.now - sent.sentAt() >= timeout) {
                     relay.answer(sent.id(), Result.TIMEOUT);
                 }
             }
@@ -55,31 +55,31 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Repeat.class)
-    void silentRouteIsLeftAloneAndServesAgainOnceItAnswers(Repeat repeat) {
-        fallSilentAndServeAgain(relay(repeat));
+    @EnumSource(Idempotency.class)
+    void silentRouteIsLeftAloneAndServesAgainOnceItAnswers(Idempotency repeat) {
+        assertCircuitOpensAndCloses(createRelay(repeat));
     }
 
     /** Others have so much time that no test by a brief message would last as long as theirs. */
     @ParameterizedTest
-    @EnumSource(Repeat.class)
-    void routeThatGetsOnlyBriefMessagesOfAMixedLotServesAgain(Repeat repeat) {
-        fallSilentAndServeAgain(relay(repeat,
-                new RequestClass("long", Repeat.REPEATABLE, KeyScope.ALL, 0, 2 * S, 20 * S, 1, 0.5, false)));
+    @EnumSource(Idempotency.class)
+    void routeThatGetsOnlyBriefMessagesOfAMixedLotServesAgain(Idempotency repeat) {
+        assertCircuitOpensAndCloses(createRelay(repeat,
+                new RequestClass("long", Idempotency.REPEATABLE, KeyScope.ALL, 0, 2 * SECOND, 20 * SECOND, 1, 0.5, false)));
     }
 
-    private static void fallSilentAndServeAgain(Relay relay) {
+    private static void assertCircuitOpensAndCloses(SimulatedRelay relay) {
         long id = 0;
         for (int i = 0; i < 100; i++) {
-            relay.round(new Policy.Accepted(id++, "brief", null, "k", relay.now + DEADLINE, 1));
-            pass(relay, 100 * MS, false);
+            relay.runRound(new Policy.RequestAccepted(id++, "brief", null, "k", relay.now + DEADLINE_MICROS, 1));
+            advanceAndAnswer(relay, 100 * MILLISECOND, false);
         }
-        assertTrue(relay.logged.stream().anyMatch(line -> line.startsWith("out: a")), relay.logged.toString());
+        assertTrue(relay.logLines.stream().anyMatch(line -> line.startsWith("out: a")), relay.logLines.toString());
         assertTrue(relay.sent.size() < 60, "calls to a silent route: " + relay.sent.size());
         for (int i = 0; i < 100; i++) {
-            relay.round(new Policy.Accepted(id++, "brief", null, "k", relay.now + DEADLINE, 1));
-            pass(relay, 100 * MS, true);
+            relay.runRound(new Policy.RequestAccepted(id++, "brief", null, "k", relay.now + DEADLINE_MICROS, 1));
+            advanceAndAnswer(relay, 100 * MILLISECOND, true);
         }
-        assertTrue(relay.logged.contains("serves again: a"), relay.logged.toString());
+        assertTrue(relay.logLines.contains("serves again: a"), relay.logLines.toString());
     }
 }
--- a/src/test/java/drumdeal/SizeTest.java
+++ b/src/test/java/drumdeal/SourceSizeTest.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class SizeTest {
-    private static final Path LOGIC = Path.of("src/main/java/drumdeal/Logic.java");
+class SourceSizeTest {
+    private static final Path MODULE_SOURCE = Path.of("src/main/java/drumdeal/DeliveryPolicy.java");
 
     @Test
     void moduleStaysWithinItsSize() throws IOException {
-        List<String> lines = Files.readAllLines(LOGIC);
+        List<String> lines = Files.readAllLines(MODULE_SOURCE);
         long counted = lines.stream().filter(line -> !line.isBlank()).count();
         assertTrue(counted <= 1200, "lines: " + counted);
         for (String line : lines) {
--- a/src/test/java/drumdeal/relay/AdminTest.java
+++ b/src/test/java/drumdeal/relay/AdminTest.java
@@ -1,7 +1,7 @@
 package drumdeal.relay;
 
 import static drumdeal.relay.RelayProcess.await;
-import static drumdeal.relay.StubPeer.status;
+import static drumdeal.relay.StubPeer.respondWithStatus;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,11 +15,11 @@
 
 /** What operators may ask at their own address, and what they are told. */
 class AdminTest extends RelayTestBase {
-    private static final String READY = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+    private static final String READY_REQUEST = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), StubPeer.always(status(200)));
+        prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(respondWithStatus(200)));
     }
 
     private static boolean isClosed(Socket socket) throws IOException {
@@ -33,14 +33,14 @@
     @Test
     void callsThatAreNoneOfItsOwnAreTurnedDown() throws IOException {
         relay.start();
-        assertEquals(200, relay.operator("GET", "/healthcheck"));
-        assertEquals(404, relay.operator("GET", "/nosuch"));
-        assertEquals(405, relay.operator("GET", "/healthcheck/fail"));
-        assertEquals(405, relay.operator("POST", "/stats"));
-        try (Socket socket = relay.connectOperator()) {
+        assertEquals(200, relay.sendAdminRequest("GET", "/healthcheck"));
+        assertEquals(404, relay.sendAdminRequest("GET", "/nosuch"));
+        assertEquals(405, relay.sendAdminRequest("GET", "/healthcheck/fail"));
+        assertEquals(405, relay.sendAdminRequest("POST", "/stats"));
+        try (Socket socket = relay.connectToAdmin()) {
             assertEquals(400, RelayProcess.exchange(socket, "\u0001\u0002\r\n\r\n").status());
         }
-        assertEquals(200, relay.operator("GET", "/healthcheck"));
+        assertEquals(200, relay.sendAdminRequest("GET", "/healthcheck"));
     }
 
     @Test
@@ -48,13 +48,13 @@
         relay.start();
         List<Socket> idle = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            Socket socket = relay.connectOperator();
+            Socket socket = relay.connectToAdmin();
             idle.add(socket);
             if (i % 2 == 0) {
                 socket.getOutputStream().write("GET /healthch".getBytes());
             }
         }
-        assertEquals(200, relay.operator("GET", "/healthcheck"));
+        assertEquals(200, relay.sendAdminRequest("GET", "/healthcheck"));
         for (Socket socket : idle) {
             assertTrue(isClosed(socket));
             socket.close();
@@ -68,8 +68,8 @@
         for (int i = 0; i < 300; i++) {
             crowd.add(relay.connect());
         }
-        assertEquals(200, relay.operator("GET", "/healthcheck"));
-        assertTrue(relay.openDescriptors() <= 256);
+        assertEquals(200, relay.sendAdminRequest("GET", "/healthcheck"));
+        assertTrue(relay.countOpenDescriptors() <= 256);
         for (Socket socket : crowd) {
             socket.close();
         }
@@ -77,54 +77,54 @@
 
     @Test
     void figuresCountHowMessagesEndFromTheStartOn() throws IOException {
-        host.answer(request -> request.id().startsWith("u") ? StubPeer.CLOSE : status(200));
+        host.respondWith(request -> request.callId().startsWith("u") ? StubPeer.CLOSE_CONNECTION : respondWithStatus(200));
         relay.start();
-        relay.handIn("s1", "safe", 7);
-        relay.handIn("s2", "safe", 7);
-        relay.handIn("u1", "unsafe", 7);
-        assertEquals(503, relay.handIn("k1", "keyed", 99));
-        await(() -> relay.stats().contains("\"unsafe\":{\"completed\":0,\"rejected\":0,\"failed\":1}"));
-        await(() -> relay.stats().contains("\"safe\":{\"completed\":2,\"rejected\":0,\"failed\":0}"));
-        String stats = relay.stats();
+        relay.submit("s1", "safe", 7);
+        relay.submit("s2", "safe", 7);
+        relay.submit("u1", "unsafe", 7);
+        assertEquals(503, relay.submit("k1", "keyed", 99));
+        await(() -> relay.fetchStats().contains("\"unsafe\":{\"completed\":0,\"rejected\":0,\"failed\":1}"));
+        await(() -> relay.fetchStats().contains("\"safe\":{\"completed\":2,\"rejected\":0,\"failed\":0}"));
+        String stats = relay.fetchStats();
         assertTrue(stats.contains("\"keyed\":{\"completed\":0,\"rejected\":1,\"failed\":0}"), stats);
         assertTrue(stats.contains("\"upstream_requests\":3,\"pending\":0,\"members\":1,"), stats);
         assertTrue(stats.contains("\"config_reloads\":0,\"config_reload_errors\":0}"), stats);
         // The counters of the log are cleared every two seconds; these are not.
         await(() -> relay.log().contains("taken 3"));
-        assertTrue(relay.stats().contains("\"safe\":{\"completed\":2,"));
+        assertTrue(relay.fetchStats().contains("\"safe\":{\"completed\":2,"));
     }
 
     @Test
     void endpointThatRefusesConnectionsIsUnavailable() throws IOException {
         host.close();
         relay.start();
-        assertTrue(relay.stats().contains("\"members_unavailable\":0"));
+        assertTrue(relay.fetchStats().contains("\"members_unavailable\":0"));
         for (int i = 0; i < 4; i++) {
-            assertEquals(202, relay.handIn("m" + i, "safe", 7));
+            assertEquals(202, relay.submit("m" + i, "safe", 7));
         }
-        await(() -> relay.stats().contains("\"pending\":4,\"members\":1,\"members_unavailable\":1"));
+        await(() -> relay.fetchStats().contains("\"pending\":4,\"members\":1,\"members_unavailable\":1"));
     }
 
     @Test
     void emptiedRelaySendsClientsAwayUntilItTakesThemAgain() throws IOException {
         relay.start();
         try (Socket kept = relay.connect()) {
-            assertEquals(200, RelayProcess.exchange(kept, READY).status());
-            assertEquals(200, relay.operator("POST", "/healthcheck/fail"));
-            assertEquals(503, relay.exchange(READY).status());
-            assertEquals(503, relay.operator("GET", "/healthcheck"));
-            assertEquals(202, relay.handIn("late", "safe", 7), "who comes all the same is served");
+            assertEquals(200, RelayProcess.exchange(kept, READY_REQUEST).status());
+            assertEquals(200, relay.sendAdminRequest("POST", "/healthcheck/fail"));
+            assertEquals(503, relay.exchange(READY_REQUEST).status());
+            assertEquals(503, relay.sendAdminRequest("GET", "/healthcheck"));
+            assertEquals(202, relay.submit("late", "safe", 7), "who comes all the same is served");
             assertTrue(isClosed(kept), "the kept connection closes");
         }
         try (Socket late = relay.connect()) {
-            String head = RelayProcess.exchange(late, RelayProcess.message("l2", "safe", 7, 9000, "x")).head();
+            String head = RelayProcess.exchange(late, RelayProcess.messageRequest("l2", "safe", 7, 9000, "x")).head();
             assertTrue(head.toLowerCase().contains("connection: close"), head);
         }
-        assertEquals(200, relay.operator("POST", "/healthcheck/ok"));
-        assertEquals(200, relay.operator("GET", "/healthcheck"));
+        assertEquals(200, relay.sendAdminRequest("POST", "/healthcheck/ok"));
+        assertEquals(200, relay.sendAdminRequest("GET", "/healthcheck"));
         try (Socket again = relay.connect()) {
-            assertEquals(200, RelayProcess.exchange(again, READY).status());
-            assertEquals(200, RelayProcess.exchange(again, READY).status(), "connections are kept again");
+            assertEquals(200, RelayProcess.exchange(again, READY_REQUEST).status());
+            assertEquals(200, RelayProcess.exchange(again, READY_REQUEST).status(), "connections are kept again");
         }
     }
 }
--- a/src/test/java/drumdeal/relay/BadClientTest.java
+++ b/src/test/java/drumdeal/relay/BadClientTest.java
@@ -1,7 +1,7 @@
 package drumdeal.relay;
 
 import static drumdeal.relay.RelayProcess.await;
-import static drumdeal.relay.StubPeer.status;
+import static drumdeal.relay.StubPeer.respondWithStatus;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -16,27 +16,27 @@
 
 /** Clients that send what can't be used, too much, or nothing at all. */
 class BadClientTest extends RelayTestBase {
-    private final List<Socket> open = new ArrayList<>();
+    private final List<Socket> openSockets = new ArrayList<>();
 
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), StubPeer.always(status(200)));
+        prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(respondWithStatus(200)));
     }
 
     @AfterEach
-    void closeAll() throws IOException {
-        for (Socket socket : open) {
+    void closeSockets() throws IOException {
+        for (Socket socket : openSockets) {
             socket.close();
         }
     }
 
     private Socket connect() throws IOException {
         Socket socket = relay.connect();
-        open.add(socket);
+        openSockets.add(socket);
         return socket;
     }
 
-    private static int read(Socket socket) throws IOException {
+    private static int readByte(Socket socket) throws IOException {
         try {
             return socket.getInputStream().read();
         } catch (SocketException e) {
@@ -47,7 +47,7 @@
     @Test
     void clientThatSaysNothingIsLetGo() throws IOException {
         relay.start();
-        assertEquals(-1, read(connect()));
+        assertEquals(-1, readByte(connect()));
     }
 
     @Test
@@ -57,11 +57,11 @@
         for (int i = 0; i < 400; i++) {
             connect();
         }
-        relay.goOn();
+        relay.resume();
         int most = 0;
-        for (Socket socket : open) {
-            most = Math.max(most, relay.openDescriptors());
-            assertEquals(-1, read(socket));
+        for (Socket socket : openSockets) {
+            most = Math.max(most, relay.countOpenDescriptors());
+            assertEquals(-1, readByte(socket));
         }
         assertTrue(most <= 256, "descriptors: " + most);
     }
@@ -69,7 +69,7 @@
     @Test
     void slowClientIsServedAmongACrowdThatNeverFinishesAMessage() throws IOException {
         relay.start();
-        String message = RelayProcess.message("slow", "safe", 7, 20_000, "hello");
+        String message = RelayProcess.messageRequest("slow", "safe", 7, 20_000, "hello");
         Socket slow = connect();
         int sent = 0;
         for (int i = 0; i < 300; i++) {
@@ -80,39 +80,39 @@
                 relay.exchange("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
             }
         }
-        assertEquals(202, relay.handIn("quick", "safe", 7), "a message that comes whole");
+        assertEquals(202, relay.submit("quick", "safe", 7), "a message that comes whole");
         assertEquals(202, RelayProcess.exchange(slow, message.substring(sent)).status());
     }
 
     @Test
     void lackOfDescriptorsIsSurvived() throws IOException {
-        relay.descriptors(100).start();
+        relay.descriptorLimit(100).start();
         for (int i = 0; i < 200; i++) {
             connect();
         }
         await(() -> relay.log().contains("can't accept"));
-        closeAll();
-        assertEquals(202, relay.handIn("after", "safe", 7));
+        closeSockets();
+        assertEquals(202, relay.submit("after", "safe", 7));
         await(() -> host.requests.size() == 1);
     }
 
     @Test
     void clientThatStopsHalfwayIsToldAndLetGo() throws IOException {
         relay.start();
-        for (String half : List.of("POST /api HT", RelayProcess.message("h1", "safe", 7, 1000, "hello").replace("hello", "h"))) {
+        for (String half : List.of("POST /api HT", RelayProcess.messageRequest("h1", "safe", 7, 1000, "hello").replace("hello", "h"))) {
             Socket socket = connect();
             assertEquals(408, RelayProcess.exchange(socket, half).status());
-            assertEquals(-1, read(socket));
+            assertEquals(-1, readByte(socket));
         }
         Socket socket = connect();
-        assertEquals(202, RelayProcess.exchange(socket, RelayProcess.message("w1", "safe", 7, 20_000, "x")).status());
+        assertEquals(202, RelayProcess.exchange(socket, RelayProcess.messageRequest("w1", "safe", 7, 20_000, "x")).status());
         assertEquals(408, RelayProcess.exchange(socket, "POST").status(), "also in a later request");
     }
 
     @Test
     void tooLargeBodyIsRefusedAtItsHeadAndReadOn() throws IOException {
         relay.start();
-        String head = RelayProcess.message("l1", "safe", 7, 1000, "").replace("Length: 0", "Length: 60000000");
+        String head = RelayProcess.messageRequest("l1", "safe", 7, 1000, "").replace("Length: 0", "Length: 60000000");
         assertEquals(413, RelayProcess.exchange(connect(), head).status());
         Socket socket = connect();
         socket.getOutputStream().write(head.getBytes());
@@ -121,13 +121,13 @@
             socket.getOutputStream().write(piece);
         }
         assertEquals(413, RelayProcess.exchange(socket, "").status());
-        assertEquals(-1, read(socket));
+        assertEquals(-1, readByte(socket));
     }
 
     @Test
     void requestWhoseLengthIsInDoubtIsRefused() throws IOException {
         relay.start();
-        String good = RelayProcess.message("d1", "safe", 7, 1000, "0\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n");
+        String good = RelayProcess.messageRequest("d1", "safe", 7, 1000, "0\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n");
         String length = "Content-Length: 30\r\n";
         assertTrue(good.contains(length), good);
         for (String lengths : List.of(length + "Transfer-Encoding: chunked\r\n", length + length,
@@ -136,21 +136,21 @@
                 "Transfer-Encoding: identity\r\n", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n")) {
             Socket socket = connect();
             assertEquals(400, RelayProcess.exchange(socket, good.replace(length, lengths)).status(), lengths);
-            assertEquals(-1, read(socket), lengths);
+            assertEquals(-1, readByte(socket), lengths);
         }
         assertEquals(505, RelayProcess.exchange(connect(), good.replace("HTTP/1.1", "HTTP/1.0")).status());
-        assertEquals(0, host.count("POST"));
+        assertEquals(0, host.countRequests("POST"));
     }
 
     @Test
     void idOfAnotherClientsOpenRequestIsNotTakenOn() throws IOException {
-        relay.period("1").start();
+        relay.roundPeriodSeconds("1").start();
         Socket first = connect();
-        first.getOutputStream().write(RelayProcess.message("same", "safe", 7, 20_000, "x").getBytes());
-        await(() -> !relay.journaled().isEmpty());
-        assertEquals(500, relay.handIn("same", "safe", 7));
+        first.getOutputStream().write(RelayProcess.messageRequest("same", "safe", 7, 20_000, "x").getBytes());
+        await(() -> !relay.readOpenMessages().isEmpty());
+        assertEquals(500, relay.submit("same", "safe", 7));
         assertEquals(202, RelayProcess.exchange(first, "").status());
-        await(() -> host.count("POST") == 1);
+        await(() -> host.countRequests("POST") == 1);
     }
 
     @Test
@@ -159,7 +159,7 @@
         Socket socket = connect();
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 400; i++) {
-            all.append(RelayProcess.message("p" + i, i % 2 == 0 ? "safe" : "nosuch", 7, 20_000, "x"));
+            all.append(RelayProcess.messageRequest("p" + i, i % 2 == 0 ? "safe" : "nosuch", 7, 20_000, "x"));
         }
         assertTrue(RelayProcess.exchange(socket, all.toString()).status() >= 202);
         for (int i = 1; i < 400; i++) {
@@ -171,18 +171,18 @@
     @Test
     void nothingBehindARequestToCloseIsTakenOn() throws IOException {
         relay.start();
-        StringBuilder all = new StringBuilder(RelayProcess.message("last", "safe", 7, 20_000, "x")
+        StringBuilder all = new StringBuilder(RelayProcess.messageRequest("last", "safe", 7, 20_000, "x")
                 .replace("Host: app.svc", "Host: app.svc\r\nConnection: close"));
         for (int i = 0; i < 20; i++) {
-            all.append(RelayProcess.message("behind" + i, "safe", 7, 20_000, "x"));
+            all.append(RelayProcess.messageRequest("behind" + i, "safe", 7, 20_000, "x"));
         }
         Socket socket = connect();
         assertEquals(202, RelayProcess.exchange(socket, all.toString()).status());
-        assertEquals(-1, read(socket));
-        await(() -> host.hasCallFor("last"));
-        assertEquals(202, relay.handIn("after", "safe", 7));
-        await(() -> host.hasCallFor("after"));
-        assertEquals(2, host.count("POST /receive"));
+        assertEquals(-1, readByte(socket));
+        await(() -> host.hasReceived("last"));
+        assertEquals(202, relay.submit("after", "safe", 7));
+        await(() -> host.hasReceived("after"));
+        assertEquals(2, host.countRequests("POST /receive"));
     }
 
     @Test
@@ -191,8 +191,8 @@
         for (int i = 0; i < 300; i++) {
             connect();
         }
-        assertEquals(202, relay.handIn("r1", "safe", 7));
-        String half = RelayProcess.message("b", "safe", 7, 1000, "x".repeat(65_000));
+        assertEquals(202, relay.submit("r1", "safe", 7));
+        String half = RelayProcess.messageRequest("b", "safe", 7, 1000, "x".repeat(65_000));
         for (int i = 0; i < 300; i++) {
             try {
                 connect().getOutputStream().write(half.substring(0, half.length() - 1).getBytes());
@@ -200,7 +200,7 @@
                 // The relay has no room for this one.
             }
         }
-        assertEquals(202, relay.handIn("r2", "safe", 7));
+        assertEquals(202, relay.submit("r2", "safe", 7));
         assertTrue(relay.isAlive());
     }
 }
--- a/src/test/java/drumdeal/relay/ClientRequestTest.java
+++ b/src/test/java/drumdeal/relay/ClientRequestTest.java
@@ -11,11 +11,11 @@
 class ClientRequestTest {
     private static long deadline(long cameAt, String budgetMs) {
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api");
-        head.headers().set(ClientServer.CALL_ID, "m1").set("X-Call-Class", "safe").set(ClientServer.BUDGET, budgetMs)
+        head.headers().set(ClientServer.CALL_ID_HEADER, "m1").set("X-Call-Class", "safe").set(ClientServer.BUDGET_HEADER, budgetMs)
                 .set("X-Consignee", "dest=7");
         ClientRequest request = new ClientRequest(head);
-        request.cameAt(cameAt);
-        return request.content().deadline();
+        request.setEarliestArrival(cameAt);
+        return request.parseContent().deadline();
     }
 
     @Test
--- /dev/null
+++ b/src/test/java/drumdeal/relay/DeadlineMarginTest.java
@@ -0,0 +1,64 @@
+package drumdeal.relay;
+
+import static drumdeal.relay.DeadlineMargin.EXPECTED_STALL_MICROS;
+import static drumdeal.relay.DeadlineMargin.STALL_RETENTION_MICROS;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import drumdeal.Policy.KeyScope;
+import drumdeal.Policy.Idempotency;
+import drumdeal.Policy.RequestClass;
+import drumdeal.Policy.RequestTerms;
+import org.junit.jupiter.api.Test;
+
+class DeadlineMarginTest {
+    private static final long SECOND = 1_000_000;
+    private static final long NOW_MICROS = 1_000 * SECOND;
+
+    private final DeadlineMargin margin = new DeadlineMargin();
+
+    @Test
+    void coversAStallOfTwoSecondsWhereThereIsTime() {
+        assertEquals(2 * SECOND, margin.marginFor(NOW_MICROS, 11 * SECOND));
+        assertEquals(2 * SECOND, margin.marginFor(NOW_MICROS, 28 * SECOND));
+    }
+
+    @Test
+    void leavesThreeQuartersOfAShortTimeToTheMessage() {
+        assertEquals(750_000, margin.marginFor(NOW_MICROS, 3 * SECOND));
+        assertEquals(0, margin.marginFor(NOW_MICROS, 0));
+        assertEquals(0, margin.marginFor(NOW_MICROS, -SECOND));
+    }
+
+    @Test
+    void followsALongerStallForAWhile() {
+        margin.recordStall(NOW_MICROS, 4 * SECOND);
+        margin.recordStall(NOW_MICROS + SECOND, SECOND);
+        assertEquals(4 * SECOND, margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS, 28 * SECOND));
+        assertEquals(2 * SECOND, margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS, 8 * SECOND));
+        assertEquals(EXPECTED_STALL_MICROS, margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS + 1, 28 * SECOND));
+    }
+
+    @Test
+    void shorterStallCountsOnceALongerOneIsForgotten() {
+        margin.recordStall(NOW_MICROS, 5 * SECOND);
+        margin.recordStall(NOW_MICROS + STALL_RETENTION_MICROS + 1, 3 * SECOND);
+        assertEquals(3 * SECOND, margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS + 2, 28 * SECOND));
+    }
+
+    @Test
+    void messageIsNoOlderForItsMargin() {
+        RequestTerms shorter = DeadlineMargin.shortenDeadline(terms(2 * SECOND, 20 * SECOND), 2 * SECOND);
+        assertEquals(18 * SECOND, shorter.requestClass().timeLimitMicros());
+        assertEquals(12, shorter.maxAttempts());
+    }
+
+    @Test
+    void classWhoseGoalIsCloseToItsDeadlineKeepsIt() {
+        RequestTerms shorter = DeadlineMargin.shortenDeadline(terms(19 * SECOND, 20 * SECOND), 2 * SECOND);
+        assertEquals(19 * SECOND + 1, shorter.requestClass().timeLimitMicros());
+    }
+
+    private static RequestTerms terms(long goal, long deadline) {
+        return new RequestTerms(new RequestClass("c", Idempotency.ONCE, KeyScope.ALL, 0, goal, deadline, 1, 0.3, false), 12);
+    }
+}
--- /dev/null
+++ b/src/test/java/drumdeal/relay/IdleClientsTest.java
@@ -0,0 +1,67 @@
+package drumdeal.relay;
+
+import static drumdeal.relay.RelayProcess.await;
+import static drumdeal.relay.RelayProcess.targetListJson;
+import static drumdeal.relay.RelayProcess.targetJson;
+import static drumdeal.relay.StubPeer.respondWith;
+import static drumdeal.relay.StubPeer.respondWithStatus;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** Idle clients take every connection that there is for them while discovery is gone. */
+class IdleClientsTest extends RelayTestBase {
+    /** As the configuration says, and no more. */
+    private static final int DESCRIPTOR_LIMIT = 256;
+    private static final int CLIENT_COUNT = 400;
+
+    private final List<Socket> clients = new ArrayList<>();
+    private volatile boolean isDiscoveryRestored;
+
+    @BeforeEach
+    void prepare() throws IOException {
+        prepare(new StubPeer(this::respondAsDiscovery), new StubPeer(request -> respondWithStatus("fails".equals(request.callId()) ? 500 : 200)));
+        relay.descriptorLimit(DESCRIPTOR_LIMIT);
+    }
+
+    @AfterEach
+    void closeClients() throws IOException {
+        for (Socket client : clients) {
+            client.close();
+        }
+    }
+
+    private String respondAsDiscovery(StubPeer.Request request) {
+        if (request.requestLine().startsWith("POST")) {
+            return respondWithStatus(204);
+        }
+        String known = targetJson("h1", 7, "one", "in_service", host.address());
+        String added = targetJson("h2", 9, "one", "in_service", host.address());
+        return isDiscoveryRestored ? respondWith(200, targetListJson(2, true, known, added)) : respondWithStatus(503);
+    }
+
+    @Test
+    void callsNoticesAndDiscoveryKeepDescriptorsOfTheirOwn() throws IOException {
+        relay.start();
+        for (int i = 0; i < CLIENT_COUNT; i++) {
+            clients.add(relay.connect());
+        }
+        assertEquals(202, relay.submit("served", "safe", 7));
+        assertEquals(202, relay.submit("fails", "unsafe", 7));
+        await(() -> host.hasReceived("served"));
+        await(() -> relay.hasSentNotice("fails", "dead"));
+        await(() -> relay.readOpenMessages().isEmpty());
+        isDiscoveryRestored = true;
+        await(() -> relay.log().contains("discovery: version 2"));
+        assertEquals(202, relay.submit("new", "safe", 9));
+        await(() -> host.hasReceived("new"));
+        assertTrue(relay.countOpenDescriptors() <= DESCRIPTOR_LIMIT, "descriptors: " + relay.countOpenDescriptors());
+    }
+}
--- a/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
+++ b/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
@@ -1,7 +1,7 @@
 package drumdeal.relay;
 
 import static drumdeal.relay.RelayProcess.await;
-import static drumdeal.relay.StubPeer.status;
+import static drumdeal.relay.StubPeer.respondWithStatus;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -27,9 +27,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Kept connections to a host that end just as a call is about to go on them, in steps on the event loop itself. */
-class IdleHostConnectionTest implements HostClient.Results {
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop loop = (EventLoop) group.next();
+class IdleHostConnectionTest implements HostClient.ResultListener {
+    private final MultiThreadIoEventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoop eventLoop = (EventLoop) eventLoopGroup.next();
     private final Clock clock = new Clock();
     private final List<Result> ended = new CopyOnWriteArrayList<>();
     private StubPeer host;
@@ -37,47 +37,47 @@
 
     @BeforeEach
     void start() throws Exception {
-        host = StubPeer.always(status(200));
-        Policy.RequestClass once = new Policy.RequestClass("once", Policy.Repeat.ONCE, Policy.KeyScope.ALL, 0, 1, 20_000_000,
+        host = StubPeer.always(respondWithStatus(200));
+        Policy.RequestClass once = new Policy.RequestClass("once", Policy.Idempotency.ONCE, Policy.KeyScope.ALL, 0, 1, 20_000_000,
                 1, 0, false);
         Policy.Settings settings = new Policy.Settings(1, 0, 1, "z", List.of(once), List.of(),
-                List.of(new Policy.Kind("one", false, 1)), List.of(),
+                List.of(new Policy.DestinationKind("one", false, 1)), List.of(),
                 new Policy.Limits(8, 8, 8, true, false, false, false, true, 1_000_000),
-                new Policy.Rules(0, 1, 2, 1, 0.2, 1, 1, 0), 1, false, true, Policy.RateHint.NONE, 0);
-        InetSocketAddress none = Config.address("127.0.0.1:1");
+                new Policy.ServiceRules(0, 1, 2, 1, 0.2, 1, 1, 0), 1, false, true, Policy.RateHint.NONE, 0);
+        InetSocketAddress none = Config.parseAddress("127.0.0.1:1");
         Config config = new Config(none, null, none, null, 256, 1 << 20, settings, 5000, 100_000_000, false, -1, List.of(),
                 Map.of());
-        Target target = new Target(new Policy.Listed("h", 7, "one", "z", Policy.Availability.LISTED, 0),
-                Config.address(host.address()));
-        loop.submit(() -> {
-            client = new HostClient(loop, clock, config, this);
-            client.list(Policy.ListKind.FULL, List.of(target));
+        Target target = new Target(new Policy.ListedRoute("h", 7, "one", "z", Policy.Availability.LISTED, 0),
+                Config.parseAddress(host.address()));
+        eventLoop.submit(() -> {
+            client = new HostClient(eventLoop, clock, config, this);
+            client.updateTargets(Policy.RouteListUpdateType.FULL, List.of(target));
         }).sync();
     }
 
     @AfterEach
     void end() throws IOException {
         host.close();
-        group.shutdownGracefully();
+        eventLoopGroup.shutdownGracefully();
     }
 
     private Message.Attempt send(String id) {
         long now = clock.micros();
         Message message = new Message(1, new Message.Content(id, "once", null, null, now + 20_000_000, 7, new byte[5]), null);
         Message.Attempt attempt = message.addAttempt("h", now);
-        client.send("h", List.of(new HostClient.Outgoing(attempt, 10_000_000, Long.MAX_VALUE)));
+        client.send("h", List.of(new HostClient.OutgoingAttempt(attempt, 10_000_000, Long.MAX_VALUE)));
         return attempt;
     }
 
-    private void rested() throws Exception {
-        loop.submit(() -> send("first")).sync();
+    private void leaveConnectionIdle() throws Exception {
+        eventLoop.submit(() -> send("first")).sync();
         await(() -> ended.size() == 1);
-        await(() -> onLoop(client::figures).contains("(1 idle)"));
+        await(() -> callOnEventLoop(client::connectionSummary).contains("(1 idle)"));
     }
 
-    private <T> T onLoop(Callable<T> look) {
+    private <T> T callOnEventLoop(Callable<T> look) {
         try {
-            return loop.submit(look).get();
+            return eventLoop.submit(look).get();
         } catch (InterruptedException | ExecutionException e) {
             throw new AssertionError(e);
         }
@@ -85,10 +85,10 @@
 
     @Test
     void callIsNotWrittenToAConnectionThatItsHostHasClosedSinceTheLastRead() throws Exception {
-        rested();
-        loop.submit(() -> {
+        leaveConnectionIdle();
+        eventLoop.submit(() -> {
             // The loop is in this step: it has not read the end that is there from here on.
-            closeAll();
+            closeHostConnections();
             send("second");
         }).sync();
         await(() -> ended.size() == 2);
@@ -98,8 +98,8 @@
 
     @Test
     void callIsNotWrittenToAConnectionThatThisRelayHasJustClosed() throws Exception {
-        rested();
-        loop.submit(() -> {
+        leaveConnectionIdle();
+        eventLoop.submit(() -> {
             client.closeIdle("h");
             send("second");
         }).sync();
@@ -111,17 +111,17 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void callIsNotWrittenToAConnectionOnWhichItsHostHasBegunALine(boolean inTheSameStep) throws Exception {
-        rested();
-        host.answer(request -> status(503));
-        loop.submit(() -> {
-            assertTrue(write("HTTP/1.1 5"));
+        leaveConnectionIdle();
+        host.respondWith(request -> respondWithStatus(503));
+        eventLoop.submit(() -> {
+            assertTrue(writeFromHost("HTTP/1.1 5"));
             if (inTheSameStep) {
                 send("second");
             }
         }).sync();
         if (!inTheSameStep) {
-            await(() -> onLoop(client::connections) == 0);
-            loop.submit(() -> send("second")).sync();
+            await(() -> callOnEventLoop(client::connections) == 0);
+            eventLoop.submit(() -> send("second")).sync();
         }
         await(() -> ended.size() == 2);
         assertEquals(2, host.connections.size());
@@ -130,23 +130,23 @@
 
     @Test
     void callThatMeetsTheEndOfItsConnectionAfterItsLastByteMayHaveRunAndIsToldOnce() throws Exception {
-        rested();
-        host.answer(request -> StubPeer.CLOSE);
-        loop.submit(() -> send("second")).sync();
+        leaveConnectionIdle();
+        host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
+        eventLoop.submit(() -> send("second")).sync();
         await(() -> ended.size() == 2);
         assertEquals(Result.RESET, ended.get(1));
-        loop.submit(() -> { }).sync();
+        eventLoop.submit(() -> { }).sync();
         assertEquals(2, ended.size());
     }
 
     @Test
     void callIsNotGivenUpWhoseAnswerHasComeSinceTheLastRead() throws Exception {
-        rested();
-        host.answer(request -> StubPeer.SILENCE);
-        Message.Attempt attempt = onLoop(() -> send("second"));
-        await(() -> host.hasCallFor("second"));
-        loop.submit(() -> {
-            assertTrue(write(status(200)));
+        leaveConnectionIdle();
+        host.respondWith(request -> StubPeer.NO_RESPONSE);
+        Message.Attempt attempt = callOnEventLoop(() -> send("second"));
+        await(() -> host.hasReceived("second"));
+        eventLoop.submit(() -> {
+            assertTrue(writeFromHost(respondWithStatus(200)));
             client.cancel(attempt);
         }).sync();
         await(() -> ended.size() == 2);
@@ -155,38 +155,38 @@
 
     @Test
     void callThatIsGivenUpEndsOnceThoughItsAnswerComesAfterAll() throws Exception {
-        rested();
-        host.answer(request -> StubPeer.SILENCE);
-        Message.Attempt attempt = onLoop(() -> send("second"));
-        await(() -> host.hasCallFor("second"));
-        loop.submit(() -> {
+        leaveConnectionIdle();
+        host.respondWith(request -> StubPeer.NO_RESPONSE);
+        Message.Attempt attempt = callOnEventLoop(() -> send("second"));
+        await(() -> host.hasReceived("second"));
+        eventLoop.submit(() -> {
             client.cancel(attempt);
-            write(status(200));
+            writeFromHost(respondWithStatus(200));
         }).sync();
-        loop.submit(() -> { }).sync();
+        eventLoop.submit(() -> { }).sync();
         assertEquals(List.of(Result.OK, Result.CANCELLED), ended);
-        await(() -> onLoop(client::connections) == 0);
-        assertEquals(0, onLoop(client::callsOut));
+        await(() -> callOnEventLoop(client::connections) == 0);
+        assertEquals(0, callOnEventLoop(client::callsInFlight));
     }
 
     @Test
     void connectionThatComesUpAfterItsCallWasGivenUpIsKeptForTheNextOne() throws Exception {
-        loop.submit(() -> {
+        eventLoop.submit(() -> {
             // In this step the connection can't be up yet.
             client.cancel(send("late"));
         }).sync();
-        await(() -> onLoop(client::figures).contains("(1 idle)"));
+        await(() -> callOnEventLoop(client::connectionSummary).contains("(1 idle)"));
         assertEquals(List.of(Result.CONNECT_FAILED), ended);
-        assertEquals(0, onLoop(client::callsOut));
-        loop.submit(() -> send("next")).sync();
+        assertEquals(0, callOnEventLoop(client::callsInFlight));
+        eventLoop.submit(() -> send("next")).sync();
         await(() -> ended.size() == 2);
         assertEquals(Result.OK, ended.get(1));
         assertEquals(1, host.connections.size());
-        assertEquals(1, onLoop(client::connections));
+        assertEquals(1, callOnEventLoop(client::connections));
     }
 
     /** Writes what the host says next; false where the connection has ended. */
-    private boolean write(String bytes) {
+    private boolean writeFromHost(String bytes) {
         try {
             host.connections.get(0).getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
             return true;
@@ -195,7 +195,7 @@
         }
     }
 
-    private void closeAll() {
+    private void closeHostConnections() {
         for (Socket connection : host.connections) {
             try {
                 connection.close();
@@ -206,13 +206,13 @@
     }
 
     @Override
-    public void ended(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report) {
+    public void attemptEnded(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report) {
         ended.add(result);
     }
 
     @Override
-    public void probed(String route, Result result, long wait, long elapsed, LimitReport report) { }
+    public void probeEnded(String route, Result result, long wait, long elapsed, LimitReport report) { }
 
     @Override
-    public void written(int messages) { }
+    public void callWritten(int messages) { }
 }
--- a/src/test/java/drumdeal/relay/IdleTimeoutTest.java
+++ b/src/test/java/drumdeal/relay/IdleTimeoutTest.java
@@ -8,57 +8,57 @@
 
 /** How long connections are kept idle, by what became of those that rested. */
 class IdleTimeoutTest {
-    private static final long LONGEST = 9_000_000;
-    private final IdleTimeout idleTimeout = new IdleTimeout(LONGEST, 0);
+    private static final long MAX_IDLE_MICROS = 9_000_000;
+    private final IdleTimeout idleTimeout = new IdleTimeout(MAX_IDLE_MICROS, 0);
 
     @Test
     void breakThatNothingSpeaksAgainstShortensTheRest() {
-        assertTrue(idleTimeout.broke(400_000, LONGEST, 0));
-        assertEquals(200_000, idleTimeout.keepFor(LONGEST, 0));
+        assertTrue(idleTimeout.broke(400_000, MAX_IDLE_MICROS, 0));
+        assertEquals(200_000, idleTimeout.currentTimeout(MAX_IDLE_MICROS, 0));
     }
 
     @Test
     void singleBreakAmongManyThatHeldAsLongChangesNothing() {
         for (int i = 0; i < 20; i++) {
-            idleTimeout.held(500_000, 0);
+            idleTimeout.survived(500_000, 0);
         }
-        assertFalse(idleTimeout.broke(400_000, LONGEST, 0));
-        assertEquals(LONGEST, idleTimeout.keepFor(LONGEST, 0));
+        assertFalse(idleTimeout.broke(400_000, MAX_IDLE_MICROS, 0));
+        assertEquals(MAX_IDLE_MICROS, idleTimeout.currentTimeout(MAX_IDLE_MICROS, 0));
     }
 
     @Test
     void everyTenthBreakShortensTheRest() {
         for (int i = 0; i < 9; i++) {
-            idleTimeout.held(400_000, 0);
+            idleTimeout.survived(400_000, 0);
         }
-        assertTrue(idleTimeout.broke(400_000, LONGEST, 0));
+        assertTrue(idleTimeout.broke(400_000, MAX_IDLE_MICROS, 0));
     }
 
     @Test
     void shorterIdleSpansThatHeldSayNothingOfLongerOnes() {
         for (int i = 0; i < 100; i++) {
-            idleTimeout.held(250_000, 0);
+            idleTimeout.survived(250_000, 0);
         }
-        assertTrue(idleTimeout.broke(900_000, LONGEST, 0));
+        assertTrue(idleTimeout.broke(900_000, MAX_IDLE_MICROS, 0));
     }
 
     @Test
     void whatHeldLongAgoIsForgotten() {
         for (int i = 0; i < 20; i++) {
-            idleTimeout.held(400_000, 0);
+            idleTimeout.survived(400_000, 0);
         }
-        assertTrue(idleTimeout.broke(400_000, LONGEST, 20_000_000));
+        assertTrue(idleTimeout.broke(400_000, MAX_IDLE_MICROS, 20_000_000));
     }
 
     @Test
     void breakAfterHardlyAnyRestChangesNothing() {
-        assertFalse(idleTimeout.broke(IdleTimeout.SHORTEST, LONGEST, 0));
+        assertFalse(idleTimeout.broke(IdleTimeout.MIN_IDLE_MICROS, MAX_IDLE_MICROS, 0));
     }
 
     @Test
     void restGrowsAgainWhileNoneBreaks() {
-        idleTimeout.broke(400_000, LONGEST, 0);
-        assertEquals(400_000, idleTimeout.keepFor(LONGEST, 10_000_000));
-        assertEquals(LONGEST, idleTimeout.keepFor(LONGEST, 100_000_000));
+        idleTimeout.broke(400_000, MAX_IDLE_MICROS, 0);
+        assertEquals(400_000, idleTimeout.currentTimeout(MAX_IDLE_MICROS, 10_000_000));
+        assertEquals(MAX_IDLE_MICROS, idleTimeout.currentTimeout(MAX_IDLE_MICROS, 100_000_000));
     }
 }
--- a/src/test/java/drumdeal/relay/JournalTest.java
+++ b/src/test/java/drumdeal/relay/JournalTest.java
@@ -18,28 +18,28 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class JournalTest {
-    private static final long DISK = 3 << 20;
+    private static final long DISK_LIMIT_BYTES = 3 << 20;
 
     @TempDir
     Path folder;
 
-    private static Message message(long number, int bytes) {
+    private static Message createMessage(long number, int bytes) {
         return new Message(number, new Message.Content("id" + number, "safe", "acme", null, 123, 7, new byte[bytes]), null);
     }
 
-    private List<Message> reopened() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
-            return journal.open();
+    private List<Message> readAfterReopening() throws IOException {
+        try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
+            return journal.unfinishedMessages();
         }
     }
 
-    private long used() throws IOException {
+    private long usedDiskBytes() throws IOException {
         try (var files = Files.list(folder)) {
             return files.mapToLong(file -> (file.toFile().length() + 511) / 512 * 512).sum();
         }
     }
 
-    private Path segment() throws IOException {
+    private Path segmentFile() throws IOException {
         try (var files = Files.list(folder)) {
             return files.findFirst().orElseThrow();
         }
@@ -47,39 +47,39 @@
 
     @Test
     void endsHaveRoomWhereAttemptsHaveNone() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
+        try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             List<Message> messages = new java.util.ArrayList<>();
             for (int i = 1; i <= 100; i++) {
-                messages.add(message(i, 8_000));
-                assertTrue(journal.accept(messages.get(i - 1)));
+                messages.add(createMessage(i, 8_000));
+                assertTrue(journal.recordAccepted(messages.get(i - 1)));
             }
             int tried = 0;
-            while (journal.attempt(messages.get(tried % 100).addAttempt("r", 50))) {
+            while (journal.recordAttempt(messages.get(tried % 100).addAttempt("r", 50))) {
                 tried++;
             }
-            messages.forEach(journal::done);
-            int rewrites = Integer.parseInt(segment().getFileName().toString().replaceAll("\\D", ""));
+            messages.forEach(journal::recordDone);
+            int rewrites = Integer.parseInt(segmentFile().getFileName().toString().replaceAll("\\D", ""));
             assertTrue(rewrites < 10, "written again so often: " + rewrites);
         }
-        assertTrue(reopened().isEmpty());
+        assertTrue(readAfterReopening().isEmpty());
     }
 
     @Test
     void everythingRecordedComesBack() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
-            Message first = message(1, 10);
-            Message second = message(2, 0);
-            assertTrue(journal.accept(first) && journal.accept(second) && journal.accept(message(3, 0)));
+        try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
+            Message first = createMessage(1, 10);
+            Message second = createMessage(2, 0);
+            assertTrue(journal.recordAccepted(first) && journal.recordAccepted(second) && journal.recordAccepted(createMessage(3, 0)));
             Message.Attempt refused = first.addAttempt("r1", 50);
-            assertTrue(journal.attempt(refused));
+            assertTrue(journal.recordAttempt(refused));
             refused.result = Result.FULL;
-            journal.result(refused);
-            assertTrue(journal.attempt(first.addAttempt("r2", 60)));
-            second.end = new Message.End(true, 5);
-            journal.decided(second);
-            journal.done(message(3, 0));
+            journal.recordResult(refused);
+            assertTrue(journal.recordAttempt(first.addAttempt("r2", 60)));
+            second.nonDelivery = new Message.NonDelivery(true, 5);
+            journal.recordEnd(second);
+            journal.recordDone(createMessage(3, 0));
         }
-        List<Message> open = reopened();
+        List<Message> open = readAfterReopening();
         assertEquals(2, open.size());
         Message first = open.get(0);
         assertEquals("id1", first.content.callId());
@@ -88,33 +88,33 @@
         assertEquals(Result.FULL, first.attempts.get(0).result);
         assertEquals("r2", first.attempts.get(1).route);
         assertNull(first.attempts.get(1).result);
-        assertEquals(new Message.End(true, 5), open.get(1).end);
+        assertEquals(new Message.NonDelivery(true, 5), open.get(1).nonDelivery);
     }
 
     @Test
     void tornTailIsCutOffAndWritingGoesOn() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
-            journal.accept(message(1, 10));
-            journal.accept(message(2, 1000));
+        try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
+            journal.recordAccepted(createMessage(1, 10));
+            journal.recordAccepted(createMessage(2, 1000));
         }
-        byte[] all = Files.readAllBytes(segment());
-        Files.write(segment(), Arrays.copyOf(all, all.length - 1));
-        try (Journal journal = new Journal(folder, DISK)) {
-            assertEquals(1, journal.open().size());
-            assertTrue(journal.accept(message(3, 10)));
+        byte[] all = Files.readAllBytes(segmentFile());
+        Files.write(segmentFile(), Arrays.copyOf(all, all.length - 1));
+        try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
+            assertEquals(1, journal.unfinishedMessages().size());
+            assertTrue(journal.recordAccepted(createMessage(3, 10)));
         }
-        assertEquals(List.of(1L, 3L), reopened().stream().map(m -> m.number).toList());
+        assertEquals(List.of(1L, 3L), readAfterReopening().stream().map(m -> m.number).toList());
     }
 
     @Test
     void recordWithAWrongChecksumIsCutOff() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
-            journal.accept(message(1, 10));
+        try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
+            journal.recordAccepted(createMessage(1, 10));
         }
-        byte[] bytes = Files.readAllBytes(segment());
+        byte[] bytes = Files.readAllBytes(segmentFile());
         bytes[bytes.length - 1] ^= 1;
-        Files.write(segment(), bytes, StandardOpenOption.TRUNCATE_EXISTING);
-        assertTrue(reopened().isEmpty());
+        Files.write(segmentFile(), bytes, StandardOpenOption.TRUNCATE_EXISTING);
+        assertTrue(readAfterReopening().isEmpty());
     }
 
     @Test
@@ -122,70 +122,70 @@
         ArrayDeque<Message> held = new ArrayDeque<>();
         int refused = 0;
         long most = 0;
-        try (Journal journal = new Journal(folder, DISK)) {
+        try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             for (int number = 1; number <= 500; number++) {
-                Message message = message(number, 64 << 10);
-                if (journal.accept(message)) {
+                Message message = createMessage(number, 64 << 10);
+                if (journal.recordAccepted(message)) {
                     held.add(message);
-                    assertTrue(journal.attempt(message.addAttempt("r", 1)));
+                    assertTrue(journal.recordAttempt(message.addAttempt("r", 1)));
                 } else {
                     refused++;
-                    journal.done(held.poll());
+                    journal.recordDone(held.poll());
                 }
-                most = Math.max(most, used());
+                most = Math.max(most, usedDiskBytes());
             }
         }
         assertTrue(refused > 100, "refused: " + refused);
         // During a rewrite the new segment, no larger than what is open, stands beside the old one.
-        assertTrue(most < 0.5 * DISK, "most on disk: " + most);
-        assertEquals(held.stream().map(m -> m.number).toList(), reopened().stream().map(m -> m.number).toList());
+        assertTrue(most < 0.5 * DISK_LIMIT_BYTES, "most on disk: " + most);
+        assertEquals(held.stream().map(m -> m.number).toList(), readAfterReopening().stream().map(m -> m.number).toList());
     }
 
     @Test
     void otherFilesAreLeftTheirRoom() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
-            journal.leave(DISK / 2);
+        try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
+            journal.reserveForOtherFiles(DISK_LIMIT_BYTES / 2);
             for (int number = 1; number <= 100; number++) {
-                journal.accept(message(number, 64 << 10));
+                journal.recordAccepted(createMessage(number, 64 << 10));
             }
         }
-        assertTrue(used() < 0.5 * DISK / 2, "on disk: " + used());
-        assertTrue(reopened().size() > 1);
+        assertTrue(usedDiskBytes() < 0.5 * DISK_LIMIT_BYTES / 2, "on disk: " + usedDiskBytes());
+        assertTrue(readAfterReopening().size() > 1);
     }
 
     @Test
     void attemptThatCouldNotBeRecordedLeavesTheOthersTheirNumbers() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
-            Message message = message(1, 10);
-            journal.accept(message);
+        try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
+            Message message = createMessage(1, 10);
+            journal.recordAccepted(message);
             message.addAttempt("lost", 1);
-            journal.attempt(message.addAttempt("r1", 2));
+            journal.recordAttempt(message.addAttempt("r1", 2));
         }
-        Message open = reopened().get(0);
+        Message open = readAfterReopening().get(0);
         assertEquals(Result.NOT_SENT, open.attempts.get(0).result);
         assertEquals("r1", open.attempts.get(1).route);
     }
 
     @Test
     void resultOfAnAttemptThatCouldNotBeRecordedCutsNothingOff() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
-            Message message = message(1, 10);
-            journal.accept(message);
+        try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
+            Message message = createMessage(1, 10);
+            journal.recordAccepted(message);
             Message.Attempt lost = message.addAttempt("lost", 1);
             lost.result = Result.NOT_SENT;
-            journal.result(lost);
-            journal.accept(message(2, 10));
+            journal.recordResult(lost);
+            journal.recordAccepted(createMessage(2, 10));
         }
-        assertEquals(List.of(1L, 2L), reopened().stream().map(m -> m.number).toList());
+        assertEquals(List.of(1L, 2L), readAfterReopening().stream().map(m -> m.number).toList());
     }
 
     @Test
     void unfinishedRewriteIsPassedOver() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
-            journal.accept(message(1, 10));
+        try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
+            journal.recordAccepted(createMessage(1, 10));
         }
         Files.writeString(folder.resolve("journal.new"), "half");
-        assertEquals(1, reopened().size());
+        assertEquals(1, readAfterReopening().size());
         assertFalse(Files.exists(folder.resolve("journal.new")));
     }
 
@@ -194,9 +194,9 @@
         Path full = Path.of("/dev/full");
         assumeTrue(Files.exists(full));
         Files.createSymbolicLink(folder.resolve("journal-0000000000.log"), full);
-        try (Journal journal = new Journal(folder, DISK)) {
-            assertFalse(journal.accept(message(1, 10)));
-            assertTrue(journal.open().isEmpty());
+        try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
+            assertFalse(journal.recordAccepted(createMessage(1, 10)));
+            assertTrue(journal.unfinishedMessages().isEmpty());
         }
     }
 }
--- a/src/test/java/drumdeal/relay/LogTest.java
+++ b/src/test/java/drumdeal/relay/LogTest.java
@@ -14,7 +14,7 @@
         System.setErr(new PrintStream(bytes, true));
         try {
             for (int i = 0; i < 10_000; i++) {
-                Log.line("line " + i);
+                Log.write("line " + i);
             }
         } finally {
             System.setErr(before);
--- a/src/test/java/drumdeal/relay/FloodTest.java
+++ b/src/test/java/drumdeal/relay/PipelinedRequestsTest.java
@@ -15,51 +15,51 @@
 import org.junit.jupiter.api.Test;
 
 /** A client that sends hundreds of requests at once, on an event loop whose steps the test takes. */
-class FloodTest {
-    private static final int REQUESTS = 400;
-    private static final String ANSWER = "answer";
+class PipelinedRequestsTest {
+    private static final int REQUEST_COUNT = 400;
+    private static final String RESPONSE = "answer";
     private static final String FLUSH = "flush";
-    private static final String OTHER = "other";
+    private static final String OTHER_TASK = "other";
 
-    private final List<String> order = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
 
-    private final class Recorder extends ChannelOutboundHandlerAdapter {
+    private final class WriteRecorder extends ChannelOutboundHandlerAdapter {
         @Override
         public void write(ChannelHandlerContext ctx, Object bytes, ChannelPromise promise) {
-            order.add(ANSWER);
+            events.add(RESPONSE);
             ctx.write(bytes, promise);
         }
 
         @Override
         public void flush(ChannelHandlerContext ctx) {
-            order.add(FLUSH);
+            events.add(FLUSH);
             ctx.flush();
         }
     }
 
-    private EmbeddedChannel client() {
+    private EmbeddedChannel createClientChannel() {
         Clock clock = new Clock();
         ClientServer server = new ClientServer(null, clock, new EventLoopMonitor(null, clock, span -> { }), 10);
-        EmbeddedChannel channel = new EmbeddedChannel(new Recorder());
+        EmbeddedChannel channel = new EmbeddedChannel(new WriteRecorder());
         channel.pipeline().addLast(new ClientConnection(server, null, clock).handlers());
         channel.pipeline().fireChannelActive();
         return channel;
     }
 
-    private long count(String event) {
-        return order.stream().filter(event::equals).count();
+    private long countEvents(String event) {
+        return events.stream().filter(event::equals).count();
     }
 
     @Test
     void requestsThatComeAtOnceLeaveTurnsToOthers() {
-        EmbeddedChannel client = client();
-        client.eventLoop().schedule(() -> order.add(OTHER), 0, TimeUnit.MILLISECONDS);
-        client.writeInbound(Unpooled.copiedBuffer("GET /nosuch HTTP/1.1\r\nHost: x\r\n\r\n".repeat(REQUESTS),
+        EmbeddedChannel client = createClientChannel();
+        client.eventLoop().schedule(() -> events.add(OTHER_TASK), 0, TimeUnit.MILLISECONDS);
+        client.writeInbound(Unpooled.copiedBuffer("GET /nosuch HTTP/1.1\r\nHost: x\r\n\r\n".repeat(REQUEST_COUNT),
                 StandardCharsets.US_ASCII));
         client.runPendingTasks();
-        assertEquals(REQUESTS, count(ANSWER));
-        assertTrue(order.subList(0, order.indexOf(OTHER)).stream().filter(ANSWER::equals).count() <= 16,
-                "answers before the others' turn: " + order.indexOf(OTHER));
-        assertTrue(count(FLUSH) <= REQUESTS / 4, "writes to the network: " + count(FLUSH));
+        assertEquals(REQUEST_COUNT, countEvents(RESPONSE));
+        assertTrue(events.subList(0, events.indexOf(OTHER_TASK)).stream().filter(RESPONSE::equals).count() <= 16,
+                "answers before the others' turn: " + events.indexOf(OTHER_TASK));
+        assertTrue(countEvents(FLUSH) <= REQUEST_COUNT / 4, "writes to the network: " + countEvents(FLUSH));
     }
 }
--- a/src/test/java/drumdeal/relay/CrossingTest.java
+++ b/src/test/java/drumdeal/relay/RaceConditionTest.java
@@ -1,8 +1,8 @@
 package drumdeal.relay;
 
 import static drumdeal.relay.RelayProcess.await;
-import static drumdeal.relay.RelayProcess.message;
-import static drumdeal.relay.StubPeer.status;
+import static drumdeal.relay.RelayProcess.messageRequest;
+import static drumdeal.relay.StubPeer.respondWithStatus;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,27 +21,27 @@
 import org.junit.jupiter.api.Test;
 
 /** Events that cross: signals, the ends of connections, and requests on their way. */
-class CrossingTest extends RelayTestBase {
-    private static final String READY = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+class RaceConditionTest extends RelayTestBase {
+    private static final String READY_REQUEST = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), StubPeer.always(status(200)));
+        prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(respondWithStatus(200)));
     }
 
     @Test
     void signalBeforeClientsCouldComeEndsTheStart() throws IOException, InterruptedException {
-        Files.createDirectories(relay.state());
+        Files.createDirectories(relay.stateFolder());
         // Another process of this relay, which says nothing: the start waits for it.
-        try (FileChannel owner = FileChannel.open(relay.state().resolve("owner.lock"), StandardOpenOption.CREATE,
+        try (FileChannel owner = FileChannel.open(relay.stateFolder().resolve("owner.lock"), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE); FileLock held = owner.lock();
                 ServerSocketChannel silent = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             assertTrue(held.isValid());
-            silent.bind(Handover.address(relay.state()));
-            relay.launch();
+            silent.bind(Handover.socketAddress(relay.stateFolder()));
+            relay.startWithoutWaiting();
             await(() -> relay.log().contains("operators at"));
             relay.terminate();
-            assertTrue(relay.hasEnded());
+            assertTrue(relay.waitForExit());
         }
         assertTrue(relay.log().contains("told to end before clients could come"), relay.log());
         assertFalse(relay.log().contains("serving on"), relay.log());
@@ -51,16 +51,16 @@
     void requestThatIsNeverWholeIsRefusedBeforeAPlannedEnd() throws IOException, InterruptedException {
         relay.start();
         try (Socket half = relay.connect()) {
-            String message = message("half", "safe", 7, 20_000, "hello");
+            String message = messageRequest("half", "safe", 7, 20_000, "hello");
             half.getOutputStream().write(message.substring(0, message.length() - 1).getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
             // Each piece begins the wait for the next one anew; the last byte never comes.
-            RelayProcess.Answer answer = RelayProcess.exchange(half, "");
+            RelayProcess.Response answer = RelayProcess.exchange(half, "");
             assertTrue(answer.status() == 503 || answer.status() == 408, answer.head());
         }
-        assertTrue(relay.hasEnded());
-        assertFalse(host.hasCallFor("half"));
+        assertTrue(relay.waitForExit());
+        assertFalse(host.hasReceived("half"));
     }
 
     @Test
@@ -76,14 +76,14 @@
                 late.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
                 assertEquals(503, RelayProcess.exchange(late, "").status());
             }
-            assertTrue(relay.hasEnded());
+            assertTrue(relay.waitForExit());
         }
     }
 
     @Test
     void secondSignalChangesNothingForARequestThatWasBegun() throws IOException, InterruptedException {
         relay.start();
-        String message = message("twice", "safe", 7, 20_000, "hello");
+        String message = messageRequest("twice", "safe", 7, 20_000, "hello");
         try (Socket begun = relay.connect()) {
             begun.getOutputStream().write(message.substring(0, message.length() - 1).getBytes());
             relay.terminate();
@@ -91,10 +91,10 @@
             relay.terminate();
             assertEquals(202, RelayProcess.exchange(begun, message.substring(message.length() - 1)).status());
         }
-        assertTrue(relay.hasEnded());
+        assertTrue(relay.waitForExit());
         relay.start();
-        await(() -> host.hasCallFor("twice"));
-        assertEquals(1, host.count("POST /receive"));
+        await(() -> host.hasReceived("twice"));
+        assertEquals(1, host.countRequests("POST /receive"));
     }
 
     @Test
@@ -102,22 +102,22 @@
         relay.start();
         try (Socket unfinished = relay.connect(); Socket kept = relay.connect()) {
             unfinished.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
-            assertEquals(200, RelayProcess.exchange(kept, READY).status());
+            assertEquals(200, RelayProcess.exchange(kept, READY_REQUEST).status());
             relay.terminate();
             assertEquals(-1, kept.getInputStream().read());
-            kept.getOutputStream().write(message("crossing", "safe", 7, 20_000, "hello").getBytes());
+            kept.getOutputStream().write(messageRequest("crossing", "safe", 7, 20_000, "hello").getBytes());
             // After a reset this would be an exception.
             kept.getOutputStream().write('x');
         }
-        assertTrue(relay.hasEnded());
-        assertFalse(host.hasCallFor("crossing"));
+        assertTrue(relay.waitForExit());
+        assertFalse(host.hasReceived("crossing"));
     }
 
     @Test
     void uploadThatGoesOnAcrossAPlannedEndIsRefusedAndNotTakenOn() throws IOException, InterruptedException {
         relay.start();
         try (Socket upload = relay.connect()) {
-            upload.getOutputStream().write(message("upload", "safe", 7, 20_000, "x".repeat(60_000)).substring(0, 1000)
+            upload.getOutputStream().write(messageRequest("upload", "safe", 7, 20_000, "x".repeat(60_000)).substring(0, 1000)
                     .getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
@@ -128,86 +128,86 @@
             int status = RelayProcess.exchange(upload, "").status();
             assertTrue(status == 503 || status == 408, "status " + status);
         }
-        assertTrue(relay.hasEnded());
+        assertTrue(relay.waitForExit());
         relay.start();
-        assertTrue(relay.journaled().isEmpty());
-        assertFalse(host.hasCallFor("upload"));
+        assertTrue(relay.readOpenMessages().isEmpty());
+        assertFalse(host.hasReceived("upload"));
     }
 
     @Test
     void signalRightBehindNewSettingsLeavesWhatIsHeldToTheNextProcess() throws IOException, InterruptedException {
         // Longer than the process will be there.
-        host.answer(request -> status(429, "X-Come-Back-Ms: 6000"));
+        host.respondWith(request -> respondWithStatus(429, "X-Come-Back-Ms: 6000"));
         relay.start();
-        assertEquals(202, relay.handIn("held", "unsafe", 7));
-        await(() -> relay.journaled().stream().flatMap(m -> m.attempts.stream()).anyMatch(a -> a.result != null));
-        try (StubPeer elsewhere = RelayProcess.quietDiscovery()) {
+        assertEquals(202, relay.submit("held", "unsafe", 7));
+        await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream()).anyMatch(a -> a.result != null));
+        try (StubPeer elsewhere = RelayProcess.discoveryWithoutChanges()) {
             relay.moveDiscovery(elsewhere);
             relay.terminate();
-            assertTrue(relay.hasEnded());
-            long before = calls("held");
-            host.answer(request -> status(200));
+            assertTrue(relay.waitForExit());
+            long before = countCalls("held");
+            host.respondWith(request -> respondWithStatus(200));
             relay.start();
-            await(() -> relay.journaled().isEmpty());
-            assertEquals(before + 1, calls("held"));
-            assertEquals(0, elsewhere.count("POST /status"));
+            await(() -> relay.readOpenMessages().isEmpty());
+            assertEquals(before + 1, countCalls("held"));
+            assertEquals(0, elsewhere.countRequests("POST /status"));
         }
-        assertFalse(relay.noticed("held", "dead") || relay.noticed("held", "bounced"));
+        assertFalse(relay.hasSentNotice("held", "dead") || relay.hasSentNotice("held", "bounced"));
     }
 
     @Test
     void signalDuringAHandoverLeavesWhatIsHeldToTheNextProcess() throws IOException, InterruptedException {
         relay.start();
-        try (SocketChannel successor = SocketChannel.open(Handover.address(relay.state()))) {
-            UpgradeTest.ask(successor);
+        try (SocketChannel successor = SocketChannel.open(Handover.socketAddress(relay.stateFolder()))) {
+            UpgradeTest.requestHandover(successor);
             await(() -> relay.log().contains("another process takes over"));
-            assertEquals(202, relay.handIn("between", "unsafe", 7));
+            assertEquals(202, relay.submit("between", "unsafe", 7));
             relay.terminate();
-            assertTrue(relay.hasEnded());
+            assertTrue(relay.waitForExit());
         }
         // Whether it was still told that the other process is gone is open; then it may have sent it already.
         relay.start();
-        await(() -> calls("between") == 1 && relay.journaled().isEmpty());
+        await(() -> countCalls("between") == 1 && relay.readOpenMessages().isEmpty());
     }
 
     @Test
     void hostsThatHangThroughASignalAndTwoKillsGetNothingTwiceThatMayNotBeRepeated()
             throws IOException, InterruptedException {
-        host.answer(request -> StubPeer.SILENCE);
+        host.respondWith(request -> StubPeer.NO_RESPONSE);
         relay.start();
         for (String type : List.of("unsafe", "safe")) {
-            assertEquals(202, relay.handIn(type, type, 7));
+            assertEquals(202, relay.submit(type, type, 7));
         }
-        await(() -> calls("unsafe") == 1 && calls("safe") == 1);
+        await(() -> countCalls("unsafe") == 1 && countCalls("safe") == 1);
         relay.terminate();
         await(() -> relay.log().contains("clients are sent away"));
-        assertEquals(202, relay.handIn("late", "unsafe", 7));
-        await(() -> calls("late") == 1);
+        assertEquals(202, relay.submit("late", "unsafe", 7));
+        await(() -> countCalls("late") == 1);
         relay.kill();
         relay.start();
-        await(() -> relay.noticed("unsafe", "dead") && relay.noticed("late", "dead") && calls("safe") == 2);
+        await(() -> relay.hasSentNotice("unsafe", "dead") && relay.hasSentNotice("late", "dead") && countCalls("safe") == 2);
         relay.kill();
-        host.answer(request -> status(200));
+        host.respondWith(request -> respondWithStatus(200));
         relay.start();
-        await(() -> calls("safe") == 3 && relay.journaled().isEmpty());
-        assertEquals(1, calls("unsafe"));
-        assertEquals(1, calls("late"));
-        assertFalse(relay.noticed("safe", "dead") || relay.noticed("safe", "bounced"));
+        await(() -> countCalls("safe") == 3 && relay.readOpenMessages().isEmpty());
+        assertEquals(1, countCalls("unsafe"));
+        assertEquals(1, countCalls("late"));
+        assertFalse(relay.hasSentNotice("safe", "dead") || relay.hasSentNotice("safe", "bounced"));
     }
 
     @Test
     void requestThatCrossesTheEndOfItsRestInServiceMeetsAnEndAndIsServedWhenItComesAgain() throws IOException {
         relay.start();
         try (Socket rested = relay.connect()) {
-            assertEquals(200, RelayProcess.exchange(rested, READY).status());
+            assertEquals(200, RelayProcess.exchange(rested, READY_REQUEST).status());
             assertEquals(-1, rested.getInputStream().read());
-            rested.getOutputStream().write(message("again", "safe", 7, 20_000, "hello").getBytes());
+            rested.getOutputStream().write(messageRequest("again", "safe", 7, 20_000, "hello").getBytes());
             // After a reset this would be an exception.
             rested.getOutputStream().write('x');
-            assertEquals(202, relay.handIn("again", "safe", 7));
+            assertEquals(202, relay.submit("again", "safe", 7));
         }
-        await(() -> calls("again") == 1);
-        assertEquals(1, host.count("POST /receive"));
+        await(() -> countCalls("again") == 1);
+        assertEquals(1, host.countRequests("POST /receive"));
     }
 
     @Test
@@ -215,15 +215,15 @@
         relay.start();
         try (Socket leaving = relay.connect()) {
             leaving.setSoLinger(true, 0);
-            leaving.getOutputStream().write(message("old", "unsafe", 7, 20_000, "hello").getBytes());
+            leaving.getOutputStream().write(messageRequest("old", "unsafe", 7, 20_000, "hello").getBytes());
         }
-        assertEquals(202, relay.handIn("new", "unsafe", 7));
-        await(() -> calls("new") == 1 && relay.journaled().isEmpty());
-        assertTrue(calls("old") <= 1);
-        assertEquals(1, calls("new"));
+        assertEquals(202, relay.submit("new", "unsafe", 7));
+        await(() -> countCalls("new") == 1 && relay.readOpenMessages().isEmpty());
+        assertTrue(countCalls("old") <= 1);
+        assertEquals(1, countCalls("new"));
     }
 
-    private long calls(String id) {
-        return host.requests.stream().filter(request -> id.equals(request.id())).count();
+    private long countCalls(String id) {
+        return host.requests.stream().filter(request -> id.equals(request.callId())).count();
     }
 }
--- a/src/test/java/drumdeal/relay/RelayProcess.java
+++ b/src/test/java/drumdeal/relay/RelayProcess.java
@@ -17,25 +17,25 @@
 
 /** The real program, started as a process of its own with stub peers round it. */
 final class RelayProcess implements AutoCloseable {
-    private static final Pattern SERVING = Pattern.compile("serving on \\S*?([0-9.]+):(\\d+)");
-    private static final Pattern OPERATORS = Pattern.compile("operators at \\S*?([0-9.]+):(\\d+)");
-    private static final int PATIENCE_S = 30;
+    private static final Pattern SERVING_LINE = Pattern.compile("serving on \\S*?([0-9.]+):(\\d+)");
+    private static final Pattern ADMIN_LINE = Pattern.compile("operators at \\S*?([0-9.]+):(\\d+)");
+    private static final int TIMEOUT_SECONDS = 30;
 
     /** An answer of the relay: its status, or 0 where the connection ended without one. */
-    record Answer(int status, String head) { }
+    record Response(int status, String head) { }
 
     private final Path folder;
     private StubPeer discovery;
     private final List<String> targets = new ArrayList<>();
-    private double diskMb = 3;
-    private String period = "0.005";
-    private int descriptors = 1024;
+    private double diskLimitMb = 3;
+    private String roundPeriodSeconds = "0.005";
+    private int descriptorLimit = 1024;
     private Process process;
     private Path log;
-    private int starts;
-    private String listen = "127.0.0.1:0";
-    private String name = "log";
-    private UnaryOperator<String> edit = UnaryOperator.identity();
+    private int startCount;
+    private String listenAddress = "127.0.0.1:0";
+    private String logNamePrefix = "log";
+    private UnaryOperator<String> configurationEdit = UnaryOperator.identity();
 
     RelayProcess(Path folder, StubPeer discovery) {
         this.folder = folder;
@@ -43,136 +43,136 @@
     }
 
     /** An entry of discovery's list. Kind {@code one} takes one message a call, {@code many} takes four. */
-    static String target(String uid, int destination, String kind, String state, String address) {
+    static String targetJson(String uid, int destination, String kind, String state, String address) {
         return "{\"uid\":\"" + uid + "\",\"endpoint\":\"" + address + "\",\"az\":\"a\",\"model\":\"" + kind
                 + "\",\"pod_group\":" + destination + ",\"state\":\"" + state
                 + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
-    static String list(int rev, boolean all, String... targets) {
+    static String targetListJson(int rev, boolean all, String... targets) {
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + String.join(",", targets) + "]}";
     }
 
     /** Discovery that tells no news and takes every notice. */
-    static StubPeer quietDiscovery() throws IOException {
-        return new StubPeer(request -> request.line().startsWith("POST /status") ? StubPeer.status(204)
-                : StubPeer.SILENCE);
+    static StubPeer discoveryWithoutChanges() throws IOException {
+        return new StubPeer(request -> request.requestLine().startsWith("POST /status") ? StubPeer.respondWithStatus(204)
+                : StubPeer.NO_RESPONSE);
     }
 
-    RelayProcess knows(String uid, int destination, String kind, StubPeer host) {
-        targets.add(target(uid, destination, kind, "in_service", host.address()));
+    RelayProcess addTarget(String uid, int destination, String kind, StubPeer host) {
+        targets.add(targetJson(uid, destination, kind, "in_service", host.address()));
         return this;
     }
 
     /** Another process of the same relay, not started yet, as the platform starts it beside this one. */
-    RelayProcess beside() {
-        Matcher at = SERVING.matcher(log());
+    RelayProcess createSuccessor() {
+        Matcher at = SERVING_LINE.matcher(log());
         if (!at.find()) {
             throw new IllegalStateException("the relay does not serve: " + log());
         }
         RelayProcess next = new RelayProcess(folder, discovery);
         next.targets.addAll(targets);
-        next.listen = at.group(1) + ":" + at.group(2);
-        next.name = name + "-next";
+        next.listenAddress = at.group(1) + ":" + at.group(2);
+        next.logNamePrefix = logNamePrefix + "-next";
         return next;
     }
 
-    RelayProcess disk(double mb) {
-        diskMb = mb;
+    RelayProcess limitDisk(double mb) {
+        diskLimitMb = mb;
         return this;
     }
 
     /** How long the relay gathers what comes in before it acts. */
-    RelayProcess period(String seconds) {
-        period = seconds;
+    RelayProcess roundPeriodSeconds(String seconds) {
+        roundPeriodSeconds = seconds;
         return this;
     }
 
     /** Changes what it is told at its next start. */
-    RelayProcess configured(UnaryOperator<String> next) {
-        edit = next;
+    RelayProcess editConfiguration(UnaryOperator<String> next) {
+        configurationEdit = next;
         return this;
     }
 
     /** How many descriptors the system lets the relay have, whatever its configuration says. */
-    RelayProcess descriptors(int most) {
-        descriptors = most;
+    RelayProcess descriptorLimit(int most) {
+        descriptorLimit = most;
         return this;
     }
 
     /** How many descriptors the relay has open. */
-    int openDescriptors() {
+    int countOpenDescriptors() {
         return Path.of("/proc/" + process.pid() + "/fd").toFile().list().length;
     }
 
-    Path state() {
+    Path stateFolder() {
         return folder.resolve("state");
     }
 
-    private Path config() {
+    private Path configurationFile() {
         return folder.resolve("config.json");
     }
 
-    private void configure() throws IOException {
-        Files.writeString(config(), edit.apply("{\"name\":\"n0\",\"listen\":\"" + listen + "\",\"discovery\":\""
+    private void writeConfiguration() throws IOException {
+        Files.writeString(configurationFile(), configurationEdit.apply("{\"name\":\"n0\",\"listen\":\"" + listenAddress + "\",\"discovery\":\""
                 + discovery.address() + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,"
-                + "\"memory_mb\":192,\"sockets\":256,\"disk_mb\":" + diskMb + "},\"known\":"
-                + list(1, true, targets.toArray(String[]::new)) + ",\"settings\":" + SETTINGS.replace("PERIOD", period) + "}"));
+                + "\"memory_mb\":192,\"sockets\":256,\"disk_mb\":" + diskLimitMb + "},\"known\":"
+                + targetListJson(1, true, targets.toArray(String[]::new)) + ",\"settings\":" + SETTINGS_TEMPLATE.replace("PERIOD", roundPeriodSeconds) + "}"));
     }
 
     /** Discovery is at another place from now on; the relay hears of it by SIGHUP. */
     void moveDiscovery(StubPeer next) throws IOException {
         discovery = next;
-        configure();
-        hangUp();
+        writeConfiguration();
+        sendHangUpSignal();
     }
 
     /** The configuration is another one from now on; the relay hears of it by SIGHUP. */
     void reconfigure(UnaryOperator<String> next) throws IOException {
-        configured(next).configure();
-        hangUp();
+        editConfiguration(next).writeConfiguration();
+        sendHangUpSignal();
     }
 
-    private void hangUp() throws IOException {
-        signal("HUP");
+    private void sendHangUpSignal() throws IOException {
+        sendSignal("HUP");
     }
 
     /** Takes the CPU from the relay, as a host with too little of it does. */
     void pause() throws IOException {
-        signal("STOP");
+        sendSignal("STOP");
         Path state = Path.of("/proc/" + process.pid() + "/stat");
         await(() -> read(state).contains(") T "));
     }
 
-    void goOn() throws IOException {
-        signal("CONT");
+    void resume() throws IOException {
+        sendSignal("CONT");
     }
 
-    private void signal(String name) throws IOException {
+    private void sendSignal(String name) throws IOException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start();
     }
 
     RelayProcess start() throws IOException {
-        launch();
-        await(() -> SERVING.matcher(log()).find());
+        startWithoutWaiting();
+        await(() -> SERVING_LINE.matcher(log()).find());
         return this;
     }
 
     /** Starts the process without waiting until it serves. */
-    void launch() throws IOException {
-        configure();
-        log = folder.resolve(name + starts++);
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + descriptors + " && exec \"$0\" \"$@\"",
+    void startWithoutWaiting() throws IOException {
+        writeConfiguration();
+        log = folder.resolve(logNamePrefix + startCount++);
+        ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + descriptorLimit + " && exec \"$0\" \"$@\"",
                 Path.of(System.getProperty("java.home"), "bin/java").toString(),
                 "-XX:TieredStopAtLevel=1", "-Xmx24m", "-XX:+ExitOnOutOfMemoryError", "-cp", System.getProperty("java.class.path"), Main.class.getName(),
                 "serve").redirectErrorStream(true).redirectOutput(log.toFile());
-        builder.environment().put("EDGE_CONFIG", config().toString());
-        builder.environment().put("EDGE_STATE", state().toString());
+        builder.environment().put("EDGE_CONFIG", configurationFile().toString());
+        builder.environment().put("EDGE_STATE", stateFolder().toString());
         builder.environment().put("EDGE_ADMIN_ADDR", "127.0.0.1:0");
         process = builder.start();
     }
 
-    private static final String SETTINGS = """
+    private static final String SETTINGS_TEMPLATE = """
             {"me":0,"fleet-size":1,"zone":"a","zones":["a"],"kinds":["one","many"],"period-s":PERIOD,
              "accounts":[{"name":"acme","quota-rps":5}],
              "classes":[
@@ -213,17 +213,17 @@
         process.destroy();
     }
 
-    boolean hasEnded() throws InterruptedException {
-        return process.waitFor(PATIENCE_S, TimeUnit.SECONDS);
+    boolean waitForExit() throws InterruptedException {
+        return process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     Socket connect() throws IOException {
-        return connect(SERVING);
+        return connect(SERVING_LINE);
     }
 
     /** A connection to the operators' door. */
-    Socket connectOperator() throws IOException {
-        return connect(OPERATORS);
+    Socket connectToAdmin() throws IOException {
+        return connect(ADMIN_LINE);
     }
 
     private Socket connect(Pattern line) throws IOException {
@@ -232,42 +232,42 @@
             throw new IOException("the relay does not serve: " + log());
         }
         Socket socket = new Socket(at.group(1), Integer.parseInt(at.group(2)));
-        socket.setSoTimeout(PATIENCE_S * 1000);
+        socket.setSoTimeout(TIMEOUT_SECONDS * 1000);
         return socket;
     }
 
     /** Hands a message in and returns the status of the answer. */
-    int handIn(String id, String type, int destination) throws IOException {
-        return handIn(id, type, destination, 20_000, "hello");
+    int submit(String id, String type, int destination) throws IOException {
+        return submit(id, type, destination, 20_000, "hello");
     }
 
-    int handIn(String id, String type, int destination, int budgetMs, String body) throws IOException {
-        return exchange(message(id, type, destination, budgetMs, body)).status();
+    int submit(String id, String type, int destination, int budgetMs, String body) throws IOException {
+        return exchange(messageRequest(id, type, destination, budgetMs, body)).status();
     }
 
-    static String message(String id, String type, int destination, int budgetMs, String body) {
+    static String messageRequest(String id, String type, int destination, int budgetMs, String body) {
         return "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: " + id + "\r\nX-Call-Class: " + type
                 + "\r\nX-Caller: acme\r\nX-Budget-Ms: " + budgetMs + "\r\nIdempotency-Key: key-" + id
                 + "\r\nContent-Length: " + body.length() + "\r\nX-Consignee: dest=" + destination
                 + "\r\n\r\n" + body;
     }
 
-    Answer exchange(String request) throws IOException {
+    Response exchange(String request) throws IOException {
         try (Socket socket = connect()) {
             return exchange(socket, request);
         }
     }
 
     /** What an operator's call is answered with. */
-    int operator(String method, String path) throws IOException {
-        try (Socket socket = connectOperator()) {
+    int sendAdminRequest(String method, String path) throws IOException {
+        try (Socket socket = connectToAdmin()) {
             return exchange(socket, method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").status();
         }
     }
 
     /** The figures that operators see. */
-    String stats() {
-        try (Socket socket = connectOperator()) {
+    String fetchStats() {
+        try (Socket socket = connectToAdmin()) {
             exchange(socket, "GET /stats HTTP/1.1\r\nHost: x\r\n\r\n");
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
@@ -275,43 +275,43 @@
         }
     }
 
-    static Answer exchange(Socket socket, String request) throws IOException {
+    static Response exchange(Socket socket, String request) throws IOException {
         socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
         StringBuilder head = new StringBuilder();
         for (int next = socket.getInputStream().read(); next >= 0; next = socket.getInputStream().read()) {
             head.append((char) next);
             if (head.toString().endsWith("\r\n\r\n")) {
-                return new Answer(Integer.parseInt(head.substring(9, 12)), head.toString());
+                return new Response(Integer.parseInt(head.substring(9, 12)), head.toString());
             }
         }
-        return new Answer(0, head.toString());
+        return new Response(0, head.toString());
     }
 
     /** What the running relay's journal holds open, read from a copy. */
-    List<Message> journaled() {
-        return journaled(state());
+    List<Message> readOpenMessages() {
+        return readOpenMessages(stateFolder());
     }
 
     /** What lies open in one part of the folder. */
-    List<Message> journaled(Path part) {
+    List<Message> readOpenMessages(Path part) {
         try (var files = Files.list(part)) {
             Path copy = Files.createDirectories(folder.resolve("copy"));
             for (Path file : files.filter(f -> f.getFileName().toString().startsWith("journal-")).toList()) {
                 Files.copy(file, copy.resolve(file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
             }
-            return Journal.leftIn(copy, 3 << 20);
+            return Journal.readUnfinishedMessages(copy, 3 << 20);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    boolean noticed(String id, String result) {
-        return discovery.requests.stream().anyMatch(r -> r.line().startsWith("POST /status")
+    boolean hasSentNotice(String id, String result) {
+        return discovery.requests.stream().anyMatch(r -> r.requestLine().startsWith("POST /status")
                 && r.body().contains("{\"ref\":\"" + id + "\",\"result\":\"" + result + "\""));
     }
 
     static void await(BooleanSupplier condition) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("what was awaited did not come");
--- a/src/test/java/drumdeal/relay/RelayTestBase.java
+++ b/src/test/java/drumdeal/relay/RelayTestBase.java
@@ -17,11 +17,11 @@
     void prepare(StubPeer discovery, StubPeer host) {
         this.discovery = discovery;
         this.host = host;
-        relay = new RelayProcess(folder, discovery).knows("h1", 7, "one", host);
+        relay = new RelayProcess(folder, discovery).addTarget("h1", 7, "one", host);
     }
 
     @AfterEach
-    void end() throws IOException {
+    void closeRelayAndPeers() throws IOException {
         relay.close();
         host.close();
         discovery.close();
--- a/src/test/java/drumdeal/relay/ReloadTest.java
+++ b/src/test/java/drumdeal/relay/ReloadTest.java
@@ -1,10 +1,10 @@
 package drumdeal.relay;
 
 import static drumdeal.relay.RelayProcess.await;
-import static drumdeal.relay.RelayProcess.list;
-import static drumdeal.relay.RelayProcess.target;
-import static drumdeal.relay.StubPeer.answer;
-import static drumdeal.relay.StubPeer.status;
+import static drumdeal.relay.RelayProcess.targetListJson;
+import static drumdeal.relay.RelayProcess.targetJson;
+import static drumdeal.relay.StubPeer.respondWith;
+import static drumdeal.relay.StubPeer.respondWithStatus;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -18,56 +18,56 @@
 class ReloadTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), StubPeer.always(status(200)));
+        prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(respondWithStatus(200)));
     }
 
     /** Discovery with a list of its own, which takes every notice. */
-    private static StubPeer discovery(String list) throws IOException {
-        return new StubPeer(request -> request.line().startsWith("POST") ? status(204)
-                : request.line().contains("after=") ? StubPeer.SILENCE : answer(200, list));
+    private static StubPeer createDiscovery(String list) throws IOException {
+        return new StubPeer(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204)
+                : request.requestLine().contains("after=") ? StubPeer.NO_RESPONSE : respondWith(200, list));
     }
 
     @Test
     void hangUpMovesTheWatchAgainAndAgain() throws IOException {
         relay.start();
-        assertEquals(202, relay.handIn("m0", "safe", 7));
-        await(() -> host.count("POST") == 1);
-        String same = target("h1", 7, "one", "in_service", host.address()).replace("1.0", "2.0");
-        try (StubPeer second = discovery(list(1, true, same));
-                StubPeer other = StubPeer.always(status(200));
-                StubPeer third = discovery(list(0, true, target("h2", 7, "one", "in_service", other.address())))) {
+        assertEquals(202, relay.submit("m0", "safe", 7));
+        await(() -> host.countRequests("POST") == 1);
+        String same = targetJson("h1", 7, "one", "in_service", host.address()).replace("1.0", "2.0");
+        try (StubPeer second = createDiscovery(targetListJson(1, true, same));
+                StubPeer other = StubPeer.always(respondWithStatus(200));
+                StubPeer third = createDiscovery(targetListJson(0, true, targetJson("h2", 7, "one", "in_service", other.address())))) {
             relay.moveDiscovery(second);
-            await(() -> second.count("GET /api/targets?after=1&") > 0);
-            assertEquals(202, relay.handIn("m1", "safe", 7));
-            await(() -> host.count("POST") == 2);
+            await(() -> second.countRequests("GET /api/targets?after=1&") > 0);
+            assertEquals(202, relay.submit("m1", "safe", 7));
+            await(() -> host.countRequests("POST") == 2);
             assertEquals(1, host.connections.size(), "a host that stays where it is keeps its connections");
             relay.moveDiscovery(third);
-            await(() -> third.count("GET /api/targets?after=0&") > 0);
-            assertEquals("GET /api/targets HTTP/1.1", third.requests.get(0).line());
-            assertEquals(202, relay.handIn("m2", "safe", 7));
-            await(() -> other.count("POST") == 1);
+            await(() -> third.countRequests("GET /api/targets?after=0&") > 0);
+            assertEquals("GET /api/targets HTTP/1.1", third.requests.get(0).requestLine());
+            assertEquals(202, relay.submit("m2", "safe", 7));
+            await(() -> other.countRequests("POST") == 1);
         }
     }
 
     @Test
     void listThatTheNewDiscoveryTellsSlowlyIsWaitedFor() throws IOException {
         relay.start();
-        try (StubPeer other = StubPeer.always(status(200));
+        try (StubPeer other = StubPeer.always(respondWithStatus(200));
                 StubPeer next = new StubPeer(request -> {
-                    if (request.line().contains("after=")) {
-                        return StubPeer.SILENCE;
+                    if (request.requestLine().contains("after=")) {
+                        return StubPeer.NO_RESPONSE;
                     }
-                    pause(1000);
-                    return answer(200, list(1, true, target("h2", 7, "one", "in_service", other.address())));
+                    sleep(1000);
+                    return respondWith(200, targetListJson(1, true, targetJson("h2", 7, "one", "in_service", other.address())));
                 })) {
             relay.moveDiscovery(next);
-            await(() -> next.count("GET /api/targets?after=1&") > 0);
-            assertEquals(202, relay.handIn("m3", "safe", 7));
-            await(() -> other.count("POST") == 1);
+            await(() -> next.countRequests("GET /api/targets?after=1&") > 0);
+            assertEquals(202, relay.submit("m3", "safe", 7));
+            await(() -> other.countRequests("POST") == 1);
         }
     }
 
-    private static void pause(long millis) {
+    private static void sleep(long millis) {
         try {
             Thread.sleep(millis);
         } catch (InterruptedException e) {
@@ -77,16 +77,16 @@
 
     @Test
     void noticeThatTheOldAddressLeftUnansweredGoesToTheNewOne() throws IOException, InterruptedException {
-        discovery.answer(request -> StubPeer.SILENCE);
-        host.answer(request -> StubPeer.CLOSE);
-        relay.start().handIn("u1", "unsafe", 7);
-        await(() -> relay.noticed("u1", "dead"));
-        try (StubPeer next = RelayProcess.quietDiscovery()) {
+        discovery.respondWith(request -> StubPeer.NO_RESPONSE);
+        host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
+        relay.start().submit("u1", "unsafe", 7);
+        await(() -> relay.hasSentNotice("u1", "dead"));
+        try (StubPeer next = RelayProcess.discoveryWithoutChanges()) {
             relay.moveDiscovery(next);
-            await(() -> relay.noticed("u1", "dead"));
-            await(() -> relay.journaled().isEmpty());
+            await(() -> relay.hasSentNotice("u1", "dead"));
+            await(() -> relay.readOpenMessages().isEmpty());
             relay.terminate();
-            assertTrue(relay.hasEnded());
+            assertTrue(relay.waitForExit());
         }
     }
 
@@ -95,39 +95,39 @@
         relay.start();
         relay.reconfigure(text -> "{");
         await(() -> relay.log().contains("the old configuration stays in force"));
-        host.answer(request -> StubPeer.CLOSE);
-        assertEquals(202, relay.handIn("u2", "unsafe", 7));
-        await(() -> relay.noticed("u2", "dead"));
+        host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
+        assertEquals(202, relay.submit("u2", "unsafe", 7));
+        await(() -> relay.hasSentNotice("u2", "dead"));
     }
 
-    private static final String LATE_CLASS = "{\"name\":\"late\",\"repeat\":\"once\",\"goal-time-s\":2,"
+    private static final String LATE_CLASS_JSON = "{\"name\":\"late\",\"repeat\":\"once\",\"goal-time-s\":2,"
             + "\"deadline-s\":20,\"worth\":1}";
 
     private static String withLateClass(String text) {
-        return text.replace("\"classes\":[", "\"classes\":[" + LATE_CLASS + ",");
+        return text.replace("\"classes\":[", "\"classes\":[" + LATE_CLASS_JSON + ",");
     }
 
     @Test
     void classThatIsAddedIsTakenOnByItsOwnRules() throws IOException {
-        host.answer(request -> StubPeer.CLOSE);
+        host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
         relay.start();
-        assertEquals(400, relay.handIn("l0", "late", 7));
+        assertEquals(400, relay.submit("l0", "late", 7));
         relay.reconfigure(ReloadTest::withLateClass);
-        await(() -> relay.stats().contains("\"config_reloads\":1,\"config_reload_errors\":0"));
-        assertEquals(202, relay.handIn("l1", "late", 7));
-        await(() -> relay.noticed("l1", "dead"));
+        await(() -> relay.fetchStats().contains("\"config_reloads\":1,\"config_reload_errors\":0"));
+        assertEquals(202, relay.submit("l1", "late", 7));
+        await(() -> relay.hasSentNotice("l1", "dead"));
         assertEquals(1, host.requests.size(), "it may be sent once");
-        await(() -> relay.stats().contains("\"late\":{\"completed\":0,\"rejected\":0,\"failed\":1}"));
+        await(() -> relay.fetchStats().contains("\"late\":{\"completed\":0,\"rejected\":0,\"failed\":1}"));
     }
 
     @Test
     void numberOfAttemptsChanges() throws IOException {
-        host.answer(request -> status(503, "X-Line-Busy: 1"));
+        host.respondWith(request -> respondWithStatus(503, "X-Line-Busy: 1"));
         relay.start();
         relay.reconfigure(text -> text.replace("\"send-cap\":12", "\"send-cap\":2"));
-        await(() -> relay.stats().contains("\"config_reloads\":1,"));
-        assertEquals(202, relay.handIn("n1", "safe", 7));
-        await(() -> relay.noticed("n1", "bounced"));
+        await(() -> relay.fetchStats().contains("\"config_reloads\":1,"));
+        assertEquals(202, relay.submit("n1", "safe", 7));
+        await(() -> relay.hasSentNotice("n1", "bounced"));
         assertEquals(2, host.requests.size());
     }
 
@@ -146,31 +146,31 @@
             UnaryOperator<String> spoil = broken.get(i);
             relay.reconfigure(text -> spoil.apply(withLateClass(text)));
             String errors = "\"config_reloads\":0,\"config_reload_errors\":" + (i + 1) + "}";
-            await(() -> relay.stats().contains(errors));
+            await(() -> relay.fetchStats().contains(errors));
         }
-        assertEquals(400, relay.handIn("b1", "late", 7), "nothing of them is taken");
-        assertEquals(202, relay.handIn("b2", "safe", 7));
-        await(() -> host.count("POST") == 1);
+        assertEquals(400, relay.submit("b1", "late", 7), "nothing of them is taken");
+        assertEquals(202, relay.submit("b2", "safe", 7));
+        await(() -> host.countRequests("POST") == 1);
         assertTrue(discovery.connections.size() > 0 && relay.isAlive());
     }
 
     @Test
     void openMessageKeepsItsClassWhenThatIsDroppedAlsoAcrossARestart() throws IOException {
-        host.answer(request -> StubPeer.SILENCE);
+        host.respondWith(request -> StubPeer.NO_RESPONSE);
         relay.start();
-        assertEquals(202, relay.handIn("o1", "unsafe", 7));
-        assertEquals(202, relay.handIn("o2", "safe", 7));
-        await(() -> host.count("POST") == 2);
+        assertEquals(202, relay.submit("o1", "unsafe", 7));
+        assertEquals(202, relay.submit("o2", "safe", 7));
+        await(() -> host.countRequests("POST") == 2);
         UnaryOperator<String> dropped = text -> text.replace("\"name\":\"unsafe\"", "\"name\":\"other\"")
                 .replace("\"name\":\"safe\",\"repeat\":\"repeatable\"", "\"name\":\"safe\",\"repeat\":\"once\"");
         relay.reconfigure(dropped);
-        await(() -> relay.stats().contains("\"config_reloads\":1,"));
+        await(() -> relay.fetchStats().contains("\"config_reloads\":1,"));
         relay.kill();
-        host.answer(request -> status(200));
+        host.respondWith(request -> respondWithStatus(200));
         relay.start();
-        await(() -> relay.noticed("o1", "dead"));
-        await(() -> host.count("POST") == 3);
-        assertEquals("o2", host.requests.get(2).id(), "it was taken on as one that may be repeated");
-        assertEquals(400, relay.handIn("o3", "unsafe", 7));
+        await(() -> relay.hasSentNotice("o1", "dead"));
+        await(() -> host.countRequests("POST") == 3);
+        assertEquals("o2", host.requests.get(2).callId(), "it was taken on as one that may be repeated");
+        assertEquals(400, relay.submit("o3", "unsafe", 7));
     }
 }
--- /dev/null
+++ b/src/test/java/drumdeal/relay/RequestClassRegistryTest.java
@@ -0,0 +1,72 @@
+package drumdeal.relay;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import drumdeal.Policy;
+import drumdeal.Policy.KeyScope;
+import drumdeal.Policy.Idempotency;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** On what terms messages are taken on while settings change. */
+class RequestClassRegistryTest {
+    private static final long AFTER_CHANGEOVER_MICROS = 100_000 + RequestClassRegistry.CHANGEOVER_MICROS;
+
+    private static Policy.Settings settings(int attempts, Policy.RequestClass... classes) {
+        return new Policy.Settings(1, 0, 1, "a", List.of(classes), List.of(), List.of(), List.of(),
+                new Policy.Limits(1, 1, attempts, true, false, false, true, true, 0),
+                new Policy.ServiceRules(0, 0, 2, 0, 0, 0, 0, 0), 1, false, false, Policy.RateHint.NONE, 0);
+    }
+
+    private static Policy.RequestClass requestClass(String name, Idempotency repeat) {
+        return new Policy.RequestClass(name, repeat, KeyScope.ALL, 10, 1, 2, 1, 0, false);
+    }
+
+    private static Message.Content content(String type, String key) {
+        return new Message.Content("id", type, null, key, 0, 7, new byte[0]);
+    }
+
+    private static RequestClassRegistry createChangedClasses() {
+        RequestClassRegistry classes = new RequestClassRegistry(settings(12, requestClass("c", Idempotency.ONCE), requestClass("gone", Idempotency.ONCE)));
+        classes.update(settings(4, requestClass("c", Idempotency.REPEATABLE), requestClass("new", Idempotency.BY_KEY)), 100_000);
+        return classes;
+    }
+
+    @Test
+    void changedClassIsHeldToBothRulesUntilClientsKnow() {
+        assertEquals(Idempotency.ONCE, createChangedClasses().termsFor(content("c", null), 100_001).requestClass().idempotency());
+        assertEquals(4, createChangedClasses().termsFor(content("c", null), 100_001).maxAttempts());
+        assertEquals(Idempotency.REPEATABLE, createChangedClasses().termsFor(content("c", null), AFTER_CHANGEOVER_MICROS).requestClass().idempotency());
+    }
+
+    @Test
+    void droppedClassIsTakenOnUntilClientsKnow() {
+        assertEquals(12, createChangedClasses().termsFor(content("gone", null), 100_001).maxAttempts());
+        assertNull(createChangedClasses().termsFor(content("gone", null), AFTER_CHANGEOVER_MICROS));
+    }
+
+    @Test
+    void addedClassIsTakenOnAtOnceAndNeedsItsKey() {
+        assertNotNull(createChangedClasses().termsFor(content("new", "k"), 100_001));
+        assertNull(createChangedClasses().termsFor(content("new", null), 100_001));
+        assertNull(createChangedClasses().termsFor(content("never", "k"), 100_001));
+    }
+
+    @Test
+    void whoHasNoKeyYetIsTakenOnAsOneThatIsSentOnce() {
+        RequestClassRegistry classes = new RequestClassRegistry(settings(12, requestClass("c", Idempotency.REPEATABLE)));
+        classes.update(settings(12, requestClass("c", Idempotency.BY_KEY)), 100_000);
+        assertEquals(Idempotency.ONCE, classes.termsFor(content("c", null), 100_001).requestClass().idempotency());
+        assertEquals(Idempotency.BY_KEY, classes.termsFor(content("c", "k"), 100_001).requestClass().idempotency());
+        assertNull(classes.termsFor(content("c", null), AFTER_CHANGEOVER_MICROS));
+    }
+
+    @Test
+    void classWhoseGoalIsCloseToItsDeadlineIsTaken() {
+        RequestClassRegistry classes = new RequestClassRegistry(settings(12, new Policy.RequestClass("close", Idempotency.ONCE, KeyScope.ALL, 0, 9_500_000, 10_000_000, 1, 0.3,
+                false)));
+        assertEquals(10_000_000, classes.termsFor(content("close", null), 0).requestClass().timeLimitMicros());
+    }
+}
--- a/src/test/java/drumdeal/relay/RestartTest.java
+++ b/src/test/java/drumdeal/relay/RestartTest.java
@@ -1,7 +1,7 @@
 package drumdeal.relay;
 
 import static drumdeal.relay.RelayProcess.await;
-import static drumdeal.relay.StubPeer.status;
+import static drumdeal.relay.StubPeer.respondWithStatus;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,67 +19,67 @@
 class RestartTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), StubPeer.always(StubPeer.SILENCE));
+        prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(StubPeer.NO_RESPONSE));
     }
 
-    private void killWith(String id, String type) throws IOException {
-        assertEquals(202, relay.start().handIn(id, type, 7));
+    private void killAndRestartWith(String id, String type) throws IOException {
+        assertEquals(202, relay.start().submit(id, type, 7));
         await(() -> host.requests.size() == 1);
         relay.kill();
-        host.answer(request -> status(200));
+        host.respondWith(request -> respondWithStatus(200));
         relay.start();
     }
 
     @Test
     void messageThatMayBeRepeatedIsResumed() throws IOException {
-        killWith("s1", "safe");
+        killAndRestartWith("s1", "safe");
         await(() -> host.requests.size() == 2);
-        assertEquals("s1", host.requests.get(1).id());
+        assertEquals("s1", host.requests.get(1).callId());
         assertEquals("hello", host.requests.get(1).body());
     }
 
     @Test
     void keyedMessageIsSentAgainWithinItsWindow() throws IOException {
-        killWith("k1", "keyed");
+        killAndRestartWith("k1", "keyed");
         await(() -> host.requests.size() == 2);
         assertEquals("key-k1", host.requests.get(1).headers().get("idempotency-key"));
     }
 
     @Test
     void unsafeMessageWhoseAttemptIsUnknownIsNeitherSentNorRefused() throws IOException {
-        killWith("u1", "unsafe");
-        await(() -> relay.noticed("u1", "dead"));
-        assertEquals(1, host.count("POST /receive"));
-        assertFalse(relay.noticed("u1", "bounced"));
+        killAndRestartWith("u1", "unsafe");
+        await(() -> relay.hasSentNotice("u1", "dead"));
+        assertEquals(1, host.countRequests("POST /receive"));
+        assertFalse(relay.hasSentNotice("u1", "bounced"));
     }
 
     @Test
     void unsafeMessageThatNeverRanIsResumed() throws IOException {
-        host.answer(request -> status(503, "X-Come-Back-Ms: 60000"));
-        assertEquals(202, relay.start().handIn("u2", "unsafe", 7));
-        await(() -> relay.journaled().stream().flatMap(m -> m.attempts.stream())
+        host.respondWith(request -> respondWithStatus(503, "X-Come-Back-Ms: 60000"));
+        assertEquals(202, relay.start().submit("u2", "unsafe", 7));
+        await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream())
                 .anyMatch(a -> a.result == Policy.Result.FULL));
         relay.kill();
-        host.answer(request -> status(200));
+        host.respondWith(request -> respondWithStatus(200));
         relay.start();
         await(() -> host.requests.size() == 2);
-        assertEquals("u2", host.requests.get(1).id());
+        assertEquals("u2", host.requests.get(1).callId());
     }
 
     @Test
     void deliveredMessageIsOver() throws IOException {
-        host.answer(request -> status(200));
-        relay.start().handIn("d1", "unsafe", 7);
-        await(() -> host.requests.size() == 1 && relay.journaled().isEmpty());
-        host.answer(request -> StubPeer.SILENCE);
-        relay.handIn("d2", "safe", 7);
+        host.respondWith(request -> respondWithStatus(200));
+        relay.start().submit("d1", "unsafe", 7);
+        await(() -> host.requests.size() == 1 && relay.readOpenMessages().isEmpty());
+        host.respondWith(request -> StubPeer.NO_RESPONSE);
+        relay.submit("d2", "safe", 7);
         await(() -> host.requests.size() == 2);
         relay.kill();
-        host.answer(request -> status(200));
+        host.respondWith(request -> respondWithStatus(200));
         relay.start();
         await(() -> host.requests.size() == 3);
-        assertEquals("d2", host.requests.get(2).id());
-        assertFalse(relay.noticed("d1", "dead"));
+        assertEquals("d2", host.requests.get(2).callId());
+        assertFalse(relay.hasSentNotice("d1", "dead"));
     }
 
     /** Neither its list nor, for the first moment, discovery knows where the messages of a whole journal go. */
@@ -87,21 +87,21 @@
     void wholeJournalOfUntriedMessagesIsTriedAfterAKillThoughTheListIsUnknownAtFirst() throws IOException {
         relay.start();
         for (int i = 0; i < 30; i++) {
-            assertEquals(202, relay.handIn("w" + i, List.of("safe", "keyed", "unsafe").get(i % 3), 7));
+            assertEquals(202, relay.submit("w" + i, List.of("safe", "keyed", "unsafe").get(i % 3), 7));
         }
         await(() -> !host.requests.isEmpty());
         relay.kill();
-        List<String> untried = relay.journaled().stream().filter(m -> m.attempts.isEmpty())
+        List<String> untried = relay.readOpenMessages().stream().filter(m -> m.attempts.isEmpty())
                 .map(m -> m.content.callId()).toList();
         assertTrue(untried.size() >= 20, "untried " + untried.size());
-        discovery.answer(request -> request.line().startsWith("POST") ? status(204) : status(503));
-        host.answer(request -> status(200));
-        relay.configured(text -> text.replaceFirst("\"targets\":\\[.*?\\]", "\"targets\":[]")).start();
+        discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204) : respondWithStatus(503));
+        host.respondWith(request -> respondWithStatus(200));
+        relay.editConfiguration(text -> text.replaceFirst("\"targets\":\\[.*?\\]", "\"targets\":[]")).start();
         await(() -> relay.log().contains("discovery: no list"));
-        discovery.answer(request -> request.line().startsWith("POST") ? status(204)
-                : StubPeer.answer(200, RelayProcess.list(2, true,
-                        RelayProcess.target("h1", 7, "one", "in_service", host.address()))));
-        await(() -> untried.stream().allMatch(host::hasCallFor));
+        discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204)
+                : StubPeer.respondWith(200, RelayProcess.targetListJson(2, true,
+                        RelayProcess.targetJson("h1", 7, "one", "in_service", host.address()))));
+        await(() -> untried.stream().allMatch(host::hasReceived));
         await(() -> relay.log().contains("untried " + untried.size() + ", of these tried " + untried.size()
                 + ", given up uncalled 0"));
     }
@@ -109,30 +109,30 @@
     @Test
     void timeSpentDownCounts() throws IOException, InterruptedException {
         // Enough time for a slow machine to take the message on, all of which passes while the relay is down.
-        assertEquals(202, relay.start().handIn("t1", "safe", 7, 5000, "x"));
+        assertEquals(202, relay.start().submit("t1", "safe", 7, 5000, "x"));
         relay.kill();
         Thread.sleep(5000);
         relay.start();
-        await(() -> relay.noticed("t1", "bounced") || relay.noticed("t1", "dead"));
+        await(() -> relay.hasSentNotice("t1", "bounced") || relay.hasSentNotice("t1", "dead"));
     }
 
     @Test
     void destinationThatTheOldListLacksIsRefusedUntilDiscoveryHasToldItsList() throws IOException {
-        assertEquals(503, relay.start().handIn("x1", "safe", 99));
+        assertEquals(503, relay.start().submit("x1", "safe", 99));
         assertEquals(0, host.requests.size());
     }
 
     @Test
     void noticeThatWasNotHeardIsSentAgain() throws IOException {
-        discovery.answer(request -> StubPeer.SILENCE);
-        host.answer(request -> StubPeer.CLOSE);
-        relay.start().handIn("n1", "unsafe", 7);
-        await(() -> relay.noticed("n1", "dead"));
+        discovery.respondWith(request -> StubPeer.NO_RESPONSE);
+        host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
+        relay.start().submit("n1", "unsafe", 7);
+        await(() -> relay.hasSentNotice("n1", "dead"));
         relay.kill();
         discovery.requests.clear();
-        discovery.answer(request -> request.line().startsWith("POST") ? status(204) : StubPeer.SILENCE);
+        discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204) : StubPeer.NO_RESPONSE);
         relay.start();
-        await(() -> relay.noticed("n1", "dead"));
+        await(() -> relay.hasSentNotice("n1", "dead"));
         assertEquals(1, host.requests.size());
     }
 
@@ -149,10 +149,10 @@
             for (int i = 0; i < 90; i++) {
                 Socket socket = relay.connect();
                 crowd.add(socket);
-                socket.getOutputStream().write(RelayProcess.message("c" + i, "safe", 7, 20_000, "hello").getBytes());
+                socket.getOutputStream().write(RelayProcess.messageRequest("c" + i, "safe", 7, 20_000, "hello").getBytes());
             }
             Thread.sleep(3500);
-            relay.goOn();
+            relay.resume();
             for (Socket socket : crowd) {
                 assertTrue(RelayProcess.exchange(socket, "").status() > 0, "a whole request got no answer");
             }
@@ -161,26 +161,26 @@
                 socket.close();
             }
         }
-        assertTrue(relay.hasEnded());
+        assertTrue(relay.waitForExit());
     }
 
     @Test
     void messageWhoseTimeIsUpAsTheRelayEndsIsRefused() throws IOException, InterruptedException {
-        host.answer(request -> status(429, "X-Come-Back-Ms: 60000"));
+        host.respondWith(request -> respondWithStatus(429, "X-Come-Back-Ms: 60000"));
         relay.start();
-        assertEquals(202, relay.handIn("first", "safe", 7));
+        assertEquals(202, relay.submit("first", "safe", 7));
         await(() -> host.requests.size() == 1);
-        assertEquals(202, relay.handIn("waits", "unsafe", 7, 2600, "hello"));
+        assertEquals(202, relay.submit("waits", "unsafe", 7, 2600, "hello"));
         relay.terminate();
         Thread.sleep(1000);
         try (Socket unfinished = relay.connect()) {
             // Keeps the relay there for a while after its time for beginning anything is over.
             unfinished.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
-            assertTrue(relay.hasEnded());
+            assertTrue(relay.waitForExit());
         }
         relay.start();
-        await(() -> relay.noticed("waits", "bounced") || relay.noticed("waits", "dead"));
-        assertFalse(relay.noticed("waits", "dead"), "it was never sent");
+        await(() -> relay.hasSentNotice("waits", "bounced") || relay.hasSentNotice("waits", "dead"));
+        assertFalse(relay.hasSentNotice("waits", "dead"), "it was never sent");
     }
 
     @Test
@@ -194,11 +194,11 @@
                 relay.terminate();
                 assertEquals(-1, kept.getInputStream().read());
                 Thread.sleep(100);
-                served = relay.handIn("again" + tries, "safe", 7) == 202;
+                served = relay.submit("again" + tries, "safe", 7) == 202;
             } catch (ConnectException e) {
                 served = false;
             }
-            assertTrue(relay.hasEnded());
+            assertTrue(relay.waitForExit());
         }
         assertTrue(served);
     }
@@ -209,19 +209,19 @@
         try (Socket idle = relay.connect(); Socket busy = relay.connect()) {
             String ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
             assertEquals(200, RelayProcess.exchange(idle, ready).status());
-            String message = RelayProcess.message("p1", "safe", 7, 20_000, "hello");
+            String message = RelayProcess.messageRequest("p1", "safe", 7, 20_000, "hello");
             busy.getOutputStream().write(message.substring(0, message.length() - 2).getBytes());
             relay.terminate();
-            assertEquals(202, relay.handIn("p2", "safe", 7), "new connections are served");
+            assertEquals(202, relay.submit("p2", "safe", 7), "new connections are served");
             assertEquals(-1, idle.getInputStream().read(), "the idle connection closes");
-            RelayProcess.Answer answer = RelayProcess.exchange(busy, message.substring(message.length() - 2));
+            RelayProcess.Response answer = RelayProcess.exchange(busy, message.substring(message.length() - 2));
             assertEquals(202, answer.status(), "a request that was begun is answered");
             assertTrue(answer.head().toLowerCase().contains("connection: close"), answer.head());
         }
-        assertTrue(relay.hasEnded());
-        host.answer(request -> status(200));
+        assertTrue(relay.waitForExit());
+        host.respondWith(request -> respondWithStatus(200));
         int before = host.requests.size();
         relay.start();
-        await(() -> host.requests.stream().skip(before).map(StubPeer.Request::id).distinct().count() == 2);
+        await(() -> host.requests.stream().skip(before).map(StubPeer.Request::callId).distinct().count() == 2);
     }
 }
--- a/src/test/java/drumdeal/relay/HealthTest.java
+++ b/src/test/java/drumdeal/relay/RouteStateFileTest.java
@@ -13,65 +13,65 @@
 import org.junit.jupiter.api.Test;
 
 /** What of the routes' health outlasts a kill. */
-class HealthTest extends RelayTestBase {
-    private static final long NOW = 1_000_000_000;
-    private static final long DISK = 3 << 20;
+class RouteStateFileTest extends RelayTestBase {
+    private static final long NOW_MICROS = 1_000_000_000;
+    private static final long DISK_LIMIT_BYTES = 3 << 20;
     private static final byte[] LEARNED = {1, 2, 3};
 
-    private Path written() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), StubPeer.always(StubPeer.CLOSE));
-        Health.write(folder, LEARNED, NOW, DISK);
+    private Path writeRouteStateFile() throws IOException {
+        prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(StubPeer.CLOSE_CONNECTION));
+        RouteStateFile.write(folder, LEARNED, NOW_MICROS, DISK_LIMIT_BYTES);
         return folder.resolve("health");
     }
 
     @Test
     void whatWasWrittenIsRead() throws IOException {
-        written();
-        assertArrayEquals(LEARNED, Health.read(folder, NOW + Health.OLDEST, DISK));
+        writeRouteStateFile();
+        assertArrayEquals(LEARNED, RouteStateFile.read(folder, NOW_MICROS + RouteStateFile.MAX_AGE_MICROS, DISK_LIMIT_BYTES));
     }
 
     @Test
     void missingFileIsPassedOver() throws IOException {
-        Files.delete(written());
-        assertNull(Health.read(folder, NOW, DISK));
+        Files.delete(writeRouteStateFile());
+        assertNull(RouteStateFile.read(folder, NOW_MICROS, DISK_LIMIT_BYTES));
     }
 
     @Test
     void fileThatIsCutShortIsPassedOver() throws IOException {
-        Path file = written();
+        Path file = writeRouteStateFile();
         byte[] whole = Files.readAllBytes(file);
         for (int length = 0; length < whole.length; length++) {
             Files.write(file, Arrays.copyOf(whole, length));
-            assertNull(Health.read(folder, NOW, DISK), "of " + length + " bytes");
+            assertNull(RouteStateFile.read(folder, NOW_MICROS, DISK_LIMIT_BYTES), "of " + length + " bytes");
         }
     }
 
     @Test
     void fileOfAnotherVersionIsPassedOver() throws IOException {
-        Path file = written();
+        Path file = writeRouteStateFile();
         Files.write(file, ByteBuffer.wrap(Files.readAllBytes(file)).putInt(0, 9).array());
-        assertNull(Health.read(folder, NOW, DISK));
+        assertNull(RouteStateFile.read(folder, NOW_MICROS, DISK_LIMIT_BYTES));
     }
 
     @Test
     void fileThatIsTooOldOrOfTheFutureIsPassedOver() throws IOException {
-        written();
-        assertNull(Health.read(folder, NOW + Health.OLDEST + 1, DISK));
-        assertNull(Health.read(folder, NOW - 1, DISK));
+        writeRouteStateFile();
+        assertNull(RouteStateFile.read(folder, NOW_MICROS + RouteStateFile.MAX_AGE_MICROS + 1, DISK_LIMIT_BYTES));
+        assertNull(RouteStateFile.read(folder, NOW_MICROS - 1, DISK_LIMIT_BYTES));
     }
 
     @Test
     void circuitThatWasOpenIsOpenAfterAKill() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), StubPeer.always(StubPeer.CLOSE));
+        prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(StubPeer.CLOSE_CONNECTION));
         relay.start();
         for (int i = 0; i < 4; i++) {
-            relay.handIn("f" + i, "unsafe", 7);
+            relay.submit("f" + i, "unsafe", 7);
         }
         await(() -> relay.log().contains("out: h1"));
         long at = System.currentTimeMillis();
         await(() -> {
             try {
-                return Files.getLastModifiedTime(relay.state().resolve("health")).toMillis() > at;
+                return Files.getLastModifiedTime(relay.stateFolder().resolve("health")).toMillis() > at;
             } catch (IOException e) {
                 return false;
             }
@@ -79,6 +79,6 @@
         relay.kill();
         relay.start();
         assertTrue(relay.log().contains("health: as it was"), relay.log());
-        await(() -> relay.stats().contains("\"members_unavailable\":1"));
+        await(() -> relay.fetchStats().contains("\"members_unavailable\":1"));
     }
 }
--- a/src/test/java/drumdeal/relay/StubPeer.java
+++ b/src/test/java/drumdeal/relay/StubPeer.java
@@ -18,25 +18,25 @@
 /** A peer of tests on an ephemeral port: a host, or discovery. It answers each request as it is told. */
 final class StubPeer implements AutoCloseable {
     /** In place of an answer: the connection closes, or nothing comes at all. */
-    static final String CLOSE = "close";
-    static final String SILENCE = "silence";
+    static final String CLOSE_CONNECTION = "close";
+    static final String NO_RESPONSE = "silence";
 
     /** A request as it came; the names of headers are in lower case. */
-    record Request(String line, Map<String, String> headers, String body, long at) {
-        String id() {
+    record Request(String requestLine, Map<String, String> headers, String body, long receivedAtNanos) {
+        String callId() {
             return headers.get("x-call-id");
         }
     }
 
     final List<Request> requests = new CopyOnWriteArrayList<>();
     final List<Socket> connections = new CopyOnWriteArrayList<>();
-    private final ServerSocket listener;
-    private volatile Function<Request, String> answers;
+    private final ServerSocket serverSocket;
+    private volatile Function<Request, String> responder;
 
     StubPeer(Function<Request, String> answers) throws IOException {
-        this.answers = answers;
-        listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        daemon(this::accept);
+        this.responder = answers;
+        serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        startDaemon(this::accept);
     }
 
     /** A peer that gives one answer to everything. */
@@ -44,11 +44,11 @@
         return new StubPeer(request -> answer);
     }
 
-    static String status(int code, String... headers) {
-        return answer(code, "", headers);
+    static String respondWithStatus(int code, String... headers) {
+        return respondWith(code, "", headers);
     }
 
-    static String answer(int code, String body, String... headers) {
+    static String respondWith(int code, String body, String... headers) {
         StringBuilder text = new StringBuilder("HTTP/1.1 " + code + " X\r\n");
         for (String header : headers) {
             text.append(header).append("\r\n");
@@ -56,32 +56,32 @@
         return text + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    void answer(Function<Request, String> next) {
-        answers = next;
+    void respondWith(Function<Request, String> next) {
+        responder = next;
     }
 
     String address() {
-        return "127.0.0.1:" + listener.getLocalPort();
+        return "127.0.0.1:" + serverSocket.getLocalPort();
     }
 
-    long count(String start) {
-        return requests.stream().filter(r -> r.line().startsWith(start)).count();
+    long countRequests(String start) {
+        return requests.stream().filter(r -> r.requestLine().startsWith(start)).count();
     }
 
     /** True where a message has come, however often. */
-    boolean hasCallFor(String id) {
-        return requests.stream().anyMatch(r -> id.equals(r.id()));
+    boolean hasReceived(String id) {
+        return requests.stream().anyMatch(r -> id.equals(r.callId()));
     }
 
     @Override
     public void close() throws IOException {
-        listener.close();
+        serverSocket.close();
         for (Socket connection : connections) {
             connection.close();
         }
     }
 
-    private static void daemon(Runnable work) {
+    private static void startDaemon(Runnable work) {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
         thread.start();
@@ -90,9 +90,9 @@
     private void accept() {
         try {
             while (true) {
-                Socket socket = listener.accept();
+                Socket socket = serverSocket.accept();
                 connections.add(socket);
-                daemon(() -> serve(socket));
+                startDaemon(() -> serve(socket));
             }
         } catch (IOException e) {
             // The test has closed this peer.
@@ -102,13 +102,13 @@
     private void serve(Socket socket) {
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (Request request = read(in); request != null; request = read(in)) {
+            for (Request request = readRequest(in); request != null; request = readRequest(in)) {
                 requests.add(request);
-                String answer = answers.apply(request);
-                if (answer.equals(CLOSE)) {
+                String answer = responder.apply(request);
+                if (answer.equals(CLOSE_CONNECTION)) {
                     return;
                 }
-                if (!answer.equals(SILENCE)) {
+                if (!answer.equals(NO_RESPONSE)) {
                     socket.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
                 }
             }
@@ -117,13 +117,13 @@
         }
     }
 
-    private static Request read(InputStream in) throws IOException {
-        String line = line(in);
+    private static Request readRequest(InputStream in) throws IOException {
+        String line = readLine(in);
         if (line.isEmpty()) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
-        for (String header = line(in); !header.isEmpty(); header = line(in)) {
+        for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
             String[] halves = header.split(": ?", 2);
             headers.put(halves[0].toLowerCase(Locale.ROOT), halves[1]);
         }
@@ -132,7 +132,7 @@
         return new Request(line, headers, body, System.nanoTime());
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         for (int next = in.read(); next >= 0 && next != '\n'; next = in.read()) {
             bytes.write(next);
--- /dev/null
+++ b/src/test/java/drumdeal/relay/UnansweredNoticeTest.java
@@ -0,0 +1,96 @@
+package drumdeal.relay;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.channel.embedded.EmbeddedChannel;
+import io.netty.handler.codec.http.HttpMethod;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** When notices that go unanswered are told again, on a clock of the test's own. */
+class UnansweredNoticeTest {
+    /** After its time a message that nobody has heard of is lost. */
+    private static final long NOTICE_DEADLINE_MILLIS = 300;
+
+    private record NoticeCall(long sentAtMillis, String body, long timeoutMillis, AgentClient.ResponseHandler callback) { }
+
+    private final EmbeddedChannel embeddedChannel = new EmbeddedChannel();
+    private final List<NoticeCall> calls = new ArrayList<>();
+    private final List<Message> acknowledged = new ArrayList<>();
+    private long nowMillis;
+    private NoticeSender notices;
+
+    @BeforeEach
+    void prepare() {
+        embeddedChannel.freezeTime();
+        notices = new NoticeSender(embeddedChannel.eventLoop(), new Discovery.Agent() {
+            @Override
+            public void request(HttpMethod method, String path, String body, long timeoutMs, AgentClient.ResponseHandler answer) {
+                calls.add(new NoticeCall(nowMillis, body, timeoutMs, answer));
+            }
+
+            @Override
+            public void moveTo(InetSocketAddress next) { }
+        }, acknowledged::add);
+    }
+
+    private void advanceMillis(long millis) {
+        for (long end = nowMillis + millis; nowMillis < end; nowMillis++) {
+            embeddedChannel.advanceTimeBy(1, TimeUnit.MILLISECONDS);
+            embeddedChannel.runScheduledPendingTasks();
+        }
+    }
+
+    private NoticeCall lastCall() {
+        return calls.get(calls.size() - 1);
+    }
+
+    private void endMessage(String id) {
+        Message message = new Message(calls.size() * 100L + acknowledged.size() + id.length(),
+                new Message.Content(id, "safe", null, null, 0, 7, new byte[0]), null);
+        message.nonDelivery = new Message.NonDelivery(true, 0);
+        notices.send(message);
+    }
+
+    /** No answer comes to the last request; the next one follows. */
+    private void timeOutLastCall() {
+        int before = calls.size();
+        NoticeCall silent = lastCall();
+        advanceMillis(silent.timeoutMillis());
+        silent.callback().handle(AgentClient.TIMED_OUT, "");
+        while (calls.size() == before) {
+            advanceMillis(1);
+        }
+    }
+
+    @Test
+    void clumpWhoseNoticesFallSilentTwiceIsToldAThirdTimeBeforeItIsLost() {
+        endMessage("a");
+        endMessage("bb");
+        endMessage("ccc");
+        timeOutLastCall();
+        timeOutLastCall();
+        assertTrue(lastCall().sentAtMillis() < NOTICE_DEADLINE_MILLIS - 50, "told again after ms: " + lastCall().sentAtMillis());
+        assertEquals(3, lastCall().body().lines().count(), lastCall().body());
+        lastCall().callback().handle(204, "");
+        assertEquals(3, acknowledged.size());
+    }
+
+    @Test
+    void agentThatHasBecomeSlowIsWaitedForLongerUntilItAnswers() {
+        endMessage("a");
+        for (int times = 0; times < 6; times++) {
+            timeOutLastCall();
+        }
+        assertTrue(lastCall().timeoutMillis() >= 500, "patience " + lastCall().timeoutMillis());
+        lastCall().callback().handle(204, "");
+        assertEquals(1, acknowledged.size());
+        endMessage("bb");
+        assertTrue(lastCall().timeoutMillis() < NOTICE_DEADLINE_MILLIS / 3, "patience " + lastCall().timeoutMillis());
+    }
+}
--- a/src/test/java/drumdeal/relay/LateReadTest.java
+++ b/src/test/java/drumdeal/relay/UnreadRequestTest.java
@@ -1,7 +1,7 @@
 package drumdeal.relay;
 
 import static drumdeal.relay.RelayProcess.await;
-import static drumdeal.relay.StubPeer.status;
+import static drumdeal.relay.StubPeer.respondWithStatus;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,21 +14,21 @@
 import org.junit.jupiter.api.Test;
 
 /** Requests that wait unread while the relay has no CPU: their time runs all the same. */
-class LateReadTest extends RelayTestBase {
-    private static final int BUDGET = 20_000;
+class UnreadRequestTest extends RelayTestBase {
+    private static final int BUDGET_MILLIS = 20_000;
 
-    private int tries;
-    private long waitedMs;
+    private int submissionCount;
+    private long waitedMillis;
 
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), StubPeer.always(status(200)));
+        prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(respondWithStatus(200)));
         relay.start();
     }
 
     /** Hands a message in that lies unread for a while, on a connection from before or from meanwhile. */
-    private RelayProcess.Answer handInUnread(boolean known, long leastMs) throws IOException, InterruptedException {
-        String message = RelayProcess.message("id" + tries++, "unsafe", 7, BUDGET, "hello");
+    private RelayProcess.Response submitUnread(boolean known, long leastMs) throws IOException, InterruptedException {
+        String message = RelayProcess.messageRequest("id" + submissionCount++, "unsafe", 7, BUDGET_MILLIS, "hello");
         Socket first = known ? relay.connect() : null;
         if (known) {
             RelayProcess.exchange(first, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -38,38 +38,38 @@
             socket.getOutputStream().write(message.getBytes(StandardCharsets.ISO_8859_1));
             long written = System.nanoTime();
             Thread.sleep(leastMs);
-            waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - written);
-            relay.goOn();
+            waitedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - written);
+            relay.resume();
             return RelayProcess.exchange(socket, "");
         }
     }
 
-    private void timeRunsUnread(boolean known) throws IOException, InterruptedException {
+    private void assertBudgetIncludesUnreadTime(boolean known) throws IOException, InterruptedException {
         // On a busy machine a request may wait until it is too old; then the next one is looked at.
-        while (handInUnread(known, 150).status() != 202) {
-            assertTrue(tries < 20, "every request was refused");
+        while (submitUnread(known, 150).status() != 202) {
+            assertTrue(submissionCount < 20, "every request was refused");
         }
         await(() -> host.requests.size() == 1);
         int budget = Integer.parseInt(host.requests.get(0).headers().get("x-budget-ms"));
-        assertTrue(budget <= BUDGET - waitedMs, "waited " + waitedMs + " ms, budget " + budget);
+        assertTrue(budget <= BUDGET_MILLIS - waitedMillis, "waited " + waitedMillis + " ms, budget " + budget);
     }
 
     @Test
     void timeRunsWhileARequestIsUnread() throws IOException, InterruptedException {
-        timeRunsUnread(true);
+        assertBudgetIncludesUnreadTime(true);
     }
 
     @Test
     void timeRunsWhileAConnectionIsNotAccepted() throws IOException, InterruptedException {
-        timeRunsUnread(false);
+        assertBudgetIncludesUnreadTime(false);
     }
 
     @Test
     void requestThatIsOlderThanItsClientWaitsIsRefused() throws IOException, InterruptedException {
-        RelayProcess.Answer answer = handInUnread(true, 500);
+        RelayProcess.Response answer = submitUnread(true, 500);
         assertEquals(503, answer.status());
         assertTrue(answer.head().toLowerCase(Locale.ROOT).contains("retry-after"), answer.head());
-        assertEquals(503, handInUnread(false, 500).status());
+        assertEquals(503, submitUnread(false, 500).status());
         assertEquals(0, host.requests.size());
     }
 }
