--- a/src/main/java/drumdeal/relay/AdminServer.java
+++ b/src/main/java/drumdeal/relay/AdminServer.java
@@ -30,36 +30,42 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** The operators' door: answers one call a connection at an address of its own. */
+/**
+ * HTTP server for operators, at an address of its own. It answers one request on each connection:
+ * {@code GET /healthcheck} with 200 or 503, {@code GET /stats} with figures as JSON, and {@code POST /healthcheck/fail}
+ * and {@code /healthcheck/ok}, which stop and resume service to clients. Used on the event loop alone.
+ */
 final class AdminServer {
-    /** How many callers may be there at once; these descriptors are kept for them. */
+    /** Most connections at a time; {@link Config} keeps as many descriptors for them. */
     static final int MAX_CONNECTIONS = 24;
     private static final int MAX_REQUEST_BYTES = 4096;
-    /** From connecting; after it the caller is let go, whatever it has sent. */
+    /** A connection is closed this long after it was accepted, whatever it has sent. */
     private static final long CONNECTION_TIMEOUT_MILLIS = 2000;
 
-    /** What operators may ask of the relay. */
+    /** The relay's functions that operators may use. */
     interface Controls {
+        /** Whether the relay listens for clients, has a host list and is not draining. */
         boolean isAcceptingClients();
 
+        /** All figures as a JSON object. */
         String statsJson();
 
-        /** Sends clients away. */
+        /** Announces that the relay is not ready and, after a delay, closes clients' connections as they fall idle. */
         void startDraining();
 
-        /** Takes clients again. */
+        /** Ends what {@link #startDraining} began; no effect once this process is ending or handing over. */
         void stopDraining();
     }
 
     private final Controls controls;
-    /** Callers that have no answer yet or still read it, the one that came first ahead. */
+    /** Open connections, oldest first. */
     private final Set<Channel> connections = new LinkedHashSet<>();
 
     AdminServer(Controls controls) {
         this.controls = controls;
     }
 
-    /** Listens for operators at an address. */
+    /** Listens for operators at an address; the future completes once it is bound. */
     ChannelFuture listen(EventLoop loop, InetSocketAddress address) {
         return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true).handler(new AcceptErrorHandler())
@@ -72,11 +78,15 @@
                 }).bind(address);
     }
 
+    /** Handles one connection. */
     private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private Future<?> timer;
         private boolean answered;
 
-        /** Guards against callers that say nothing and stay: those that have stood longest make room. */
+        /**
+         * Closes the oldest connection where there is no room for another. Otherwise connections on which nothing is
+         * sent could keep operators out.
+         */
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             if (connections.size() >= MAX_CONNECTIONS) {
--- a/src/main/java/drumdeal/relay/Config.java
+++ b/src/main/java/drumdeal/relay/Config.java
@@ -19,23 +19,39 @@
 import java.util.Set;
 
 /**
- * Everything that a relay is told at its start. Spans are in microseconds; {@code knownVersion} is -1 and
- * {@code known} empty where no earlier list is known; {@code admin} is null where operators have no address.
- * {@code source} is the file as it was read.
+ * Configuration of a relay, read from a JSON file and the environment at the start and at each reload.
+ *
+ * @param listenAddress where clients connect
+ * @param adminAddress where operators connect; null where they have no address
+ * @param discoveryAddress where the discovery agent listens
+ * @param stateFolder root of the files that survive the process
+ * @param socketLimit file descriptors that the process may use
+ * @param diskBytes disk that the files in the state folder may take
+ * @param settings settings of the decision module
+ * @param roundDelayMicros time from an event to the round of decisions that handles it
+ * @param connectionIdleTimeoutMicros time after which a host closes an idle connection; the relay closes it earlier
+ * @param usesLoadReports whether hosts report their load; probes then ask for the report
+ * @param knownListVersion version of the host list known from before; -1 where none is known
+ * @param knownTargets hosts of the list known from before; empty where none is known
+ * @param source the file as it was read
  */
-record Config(InetSocketAddress listenAddress, InetSocketAddress adminAddress, InetSocketAddress discoveryAddress, Path stateFolder,
-        int socketLimit, long diskBytes,
-        Policy.Settings settings, long roundDelayMicros, long connectionIdleTimeoutMicros, boolean usesLoadReports, long knownListVersion,
-        List<Target> knownTargets, Map<?, ?> source) {
+record Config(InetSocketAddress listenAddress, InetSocketAddress adminAddress, InetSocketAddress discoveryAddress,
+        Path stateFolder, int socketLimit, long diskBytes, Policy.Settings settings, long roundDelayMicros,
+        long connectionIdleTimeoutMicros, boolean usesLoadReports, long knownListVersion, List<Target> knownTargets,
+        Map<?, ?> source) {
 
     private static final long BYTES_PER_MIB = 1 << 20;
-    /** Descriptors for all but connections: the JVM's, journal's, discovery's, operators', one just accepted. */
+    /**
+     * Descriptors kept for everything but connections to clients and hosts: the JVM, the journal, discovery, operators'
+     * connections and one connection that has just been accepted.
+     */
     private static final int RESERVED_DESCRIPTORS = 36 + AdminServer.MAX_CONNECTIONS;
+    /** Share of the remaining descriptors that clients' connections may take; hosts' connections take the rest. */
     private static final double CLIENT_CONNECTION_SHARE = 0.55;
-    /** What a later file need not have. */
+    /** Paths that a reloaded file may lack although the current one has them. */
     private static final Set<String> OPTIONAL_PATHS = Set.of("/known", "/admin_addr");
 
-    /** A setting that is missing or makes no sense; the message is for staff. */
+    /** The configuration can't be read, or a setting is missing or invalid; the message is for operators. */
     static final class BadConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -44,7 +60,10 @@
         }
     }
 
-    /** Reads the configuration that the environment names. */
+    /**
+     * Reads the configuration: {@code EDGE_CONFIG} names the file, {@code EDGE_STATE} the state folder, and
+     * {@code EDGE_ADMIN_ADDR}, which may be absent, replaces the file's address for operators.
+     */
     static Config read(Map<String, String> environment) throws BadConfigException {
         Path file = Path.of(requireVariable(environment, "EDGE_CONFIG"));
         Path state = Path.of(requireVariable(environment, "EDGE_STATE"));
@@ -74,23 +93,25 @@
             known = Target.readAll(list);
         }
         String how = params.value("stats") == null ? null : params.object("stats").textOrNull("how");
-        // Guards against two versions that run at once from one file: each has the address of its environment.
+        // During an upgrade two processes run from one file; each gets an address of its own from its environment.
         String admin = ownAdmin == null || ownAdmin.isEmpty() ? json.textOrNull("admin_addr") : ownAdmin;
         return new Config(parseAddress(json.text("listen")), admin == null ? null : parseAddress(admin),
                 parseAddress(json.text("discovery")), state, socketLimit(limits),
                 (long) (limits.number("disk_mb") * BYTES_PER_MIB), settings, params.secondsAsMicros("period-s", 0),
-                params.object("limits").secondsAsMicros("conn-idle-s"), how != null && !how.equals("off"), version, known,
-                source);
+                params.object("limits").secondsAsMicros("conn-idle-s"), how != null && !how.equals("off"), version,
+                known, source);
     }
 
     /**
-     * What a later file lacks that this one has, or has of another kind; null where nothing. Guards against a file
-     * that can be read but is not whole: what is optional by itself would silently take its default.
+     * Compares a file read later with this one. Returns the path of the first setting that the later file lacks or has
+     * with another JSON type, or null where there is none. Without this check an incomplete file that can still be
+     * parsed would be accepted, and its missing optional settings would silently take their defaults.
      */
     String findMissingSetting(Config later) {
         return findMissingPath("", source, later.source);
     }
 
+    /** Compares the JSON values of both files at one path; returns as {@link #findMissingSetting} does. */
     private static String findMissingPath(String where, Object here, Object there) {
         if (here instanceof Map<?, ?> members) {
             if (!(there instanceof Map<?, ?> others)) {
@@ -114,7 +135,10 @@
         return alike ? null : where;
     }
 
-    /** Entries come and go; each has what all of the present ones have. */
+    /**
+     * Compares two lists. Entries may have been added or removed, but each entry of the later list needs the members
+     * that all entries of the current list have in common.
+     */
     private static String findMissingPathInEntries(String where, List<?> here, List<?> there) {
         if (here.isEmpty() || !here.stream().allMatch(entry -> entry instanceof Map)) {
             return null;
@@ -125,6 +149,7 @@
                 .orElse(null);
     }
 
+    /** Reads {@code limits.sockets}, which must leave descriptors for connections. */
     private static int socketLimit(JsonReader limits) {
         long sockets = limits.integer("sockets");
         if (sockets <= RESERVED_DESCRIPTORS) {
@@ -133,17 +158,17 @@
         return (int) Math.min(sockets, Integer.MAX_VALUE);
     }
 
-    /** How many descriptors another process takes, with so many connections and all that it has besides. */
+    /** Descriptors that a process with so many connections takes, including those for everything else. */
     static int descriptorsFor(int connections) {
         return connections + RESERVED_DESCRIPTORS;
     }
 
-    /** How many connections clients may hold. */
+    /** Largest number of connections that clients may hold. */
     int maxClientConnections() {
         return (int) Math.ceil(CLIENT_CONNECTION_SHARE * (socketLimit - RESERVED_DESCRIPTORS));
     }
 
-    /** How many connections to hosts there may be. */
+    /** Largest number of connections to hosts. */
     int maxHostConnections() {
         return Math.max(1, socketLimit - RESERVED_DESCRIPTORS - maxClientConnections());
     }
@@ -156,7 +181,7 @@
         return value;
     }
 
-    /** An address in digits with its port: there is no DNS. */
+    /** Parses a numeric IPv4 address, or an IPv6 address in brackets, with its port; there is no DNS. */
     static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
--- a/src/main/java/drumdeal/relay/ConfigReloader.java
+++ b/src/main/java/drumdeal/relay/ConfigReloader.java
@@ -5,13 +5,14 @@
 import java.util.concurrent.Executors;
 import sun.misc.Signal;
 
-/** Reads the configuration again at each SIGHUP, away from the event loop. */
+/** Reads the configuration again at each SIGHUP, on a thread of its own so that the event loop is not blocked. */
 final class ConfigReloader {
-    /** What becomes of a configuration that was read. */
+    /** Receives the result of each reload, on the reloader's thread. */
     interface Listener {
+        /** The new configuration is valid and replaces the current one. */
         void onConfigReloaded(Config next);
 
-        /** It is not whole, or makes no sense; nothing of it holds. */
+        /** The new configuration can't be read, is incomplete or invalid; the current one stays in force. */
         void onConfigRejected(String why);
     }
 
@@ -25,10 +26,13 @@
         this.listener = taker;
     }
 
-    /** Takes SIGHUP from now on; a configuration that can't be taken whole leaves the old one in force. */
+    /**
+     * Starts handling SIGHUP. A configuration that is rejected in any part is rejected as a whole, and {@code inForce}
+     * or its latest replacement stays in force.
+     */
     static void reloadOnHangUp(Map<String, String> environment, Config inForce, Listener taker) {
         ConfigReloader reload = new ConfigReloader(environment, inForce, taker);
-        // Guards, by a single thread, against an older file that overtakes a newer one.
+        // With more than one thread an older file could be applied after a newer one.
         ExecutorService reader = Executors.newSingleThreadExecutor(work -> {
             Thread thread = new Thread(work, "reload");
             thread.setDaemon(true);
--- a/src/main/java/drumdeal/relay/Handover.java
+++ b/src/main/java/drumdeal/relay/Handover.java
@@ -18,40 +18,50 @@
 import java.nio.file.Path;
 
 /**
- * How two processes of one relay talk while the newer takes over from the older: frames on a Unix socket, which lies
- * in the part of the folder that the older one owns.
+ * The protocol between two processes of one relay while the newer one takes over from the older one during an upgrade:
+ * frames on a Unix socket in the older one's process folder. A frame is a length (int), a type (byte) and a payload.
  */
 final class Handover {
-    /** Another version of these frames is not understood; the newer process then waits for the older one's end. */
+    /**
+     * Version of the protocol. The older process closes the connection where the newer one has another version; the
+     * newer one then serves without a snapshot, and adopts the older one's messages once that has ended.
+     */
     static final int VERSION = 1;
     private static final String SOCKET_NAME = "handover.sock";
     private static final int MAX_FRAME_BYTES = 16 << 20;
 
-    /** What a frame says; each is followed by what the comment names. */
+    /**
+     * Type of a frame; each constant's comment names the payload after the colon. Types are sent by position: constants
+     * must not be reordered or removed.
+     */
     enum FrameType {
-        /** The newer asks to take over: version. */
+        /** The newer process asks to take over: its protocol version (int). */
         TAKEOVER_REQUEST,
-        /** The older has stopped deciding: its {@link HandoverSnapshot}. */
+        /** The older process has suspended its decisions: its {@link HandoverSnapshot}. */
         SNAPSHOT,
-        /** The newer listens for clients. */
+        /** The newer process listens for clients: nothing. */
         LISTENING,
-        /** The older passes a message on: its number there, the journal's records of it. */
+        /** The older process hands over a message: its number there (long), its journal records. */
         MESSAGE,
-        /** The newer has it in its journal: the number. */
+        /** The newer process has written the message to its journal: the number in the older process (long). */
         MESSAGE_STORED,
-        /** The older has let go of it: the number. */
+        /** The older process no longer holds the message: the number in the older process (long). */
         MESSAGE_RELEASED,
-        /** A call of the older has ended: route, result, wait, time taken, calls still out. */
+        /**
+         * A call of the older process has ended: route and result (texts), the wait that the host asked for and the
+         * time taken (longs, microseconds), the older process's calls still in flight (int).
+         */
         OUTCOME
     }
 
-    /** What follows a frame's word. */
+    /** Writes the payload of a frame. */
     interface PayloadWriter {
         void write(DataOutputStream out) throws IOException;
     }
 
-    /** Takes in frames. */
+    /** Receives the frames of a connection. */
     interface FrameHandler {
+        /** Handles one frame; {@code in} holds its payload. An exception closes the connection. */
         void onFrame(FrameType word, DataInputStream in) throws IOException;
     }
 
@@ -65,9 +75,10 @@
         return UnixDomainSocketAddress.of(socketPath(part));
     }
 
-    /** Reads frames from a channel; one that can't be read ends it. */
+    /** Makes a channel send and receive frames. A frame that can't be read closes the channel. */
     static void attachFrameHandler(Channel channel, FrameHandler reader) {
-        channel.pipeline().addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, Integer.BYTES, 0, Integer.BYTES),
+        channel.pipeline().addLast(
+                new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, Integer.BYTES, 0, Integer.BYTES),
                 new LengthFieldPrepender(Integer.BYTES), new SimpleChannelInboundHandler<ByteBuf>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws IOException {
@@ -87,6 +98,7 @@
                 });
     }
 
+    /** Sends a frame on a channel prepared by {@link #attachFrameHandler}. */
     static void send(Channel channel, FrameType word, PayloadWriter payload) {
         channel.writeAndFlush(Unpooled.wrappedBuffer(toBytes(out -> {
             out.writeByte(word.ordinal());
--- a/src/main/java/drumdeal/relay/HandoverSnapshot.java
+++ b/src/main/java/drumdeal/relay/HandoverSnapshot.java
@@ -8,10 +8,17 @@
 import java.util.List;
 
 /**
- * Where a relay stands as its older process stops deciding: its list, what its module has learned, and what of the
- * bounds that hold for both processes together it still uses.
+ * State of the older process of a relay at the time when it suspends its decisions. The order of the fields in the
+ * frame and the names of {@link Policy.Availability} in it are part of the handover protocol.
+ *
+ * @param listVersion version of the older process's host list; -1 where it has none
+ * @param targets the hosts of that list
+ * @param learnedState what its decision module has learned, see {@link Policy#encodeLearnedState}
+ * @param callsInFlight its calls in flight, which count towards the limit that both processes share
+ * @param connections its connections to clients and hosts, which count towards the descriptors that both share
  */
-record HandoverSnapshot(long listVersion, List<Target> targets, byte[] learnedState, int callsInFlight, int connections) {
+record HandoverSnapshot(long listVersion, List<Target> targets, byte[] learnedState, int callsInFlight,
+        int connections) {
 
     void write(DataOutputStream out) throws IOException {
         out.writeLong(listVersion);
--- a/src/main/java/drumdeal/relay/Journal.java
+++ b/src/main/java/drumdeal/relay/Journal.java
@@ -19,40 +19,61 @@
 import java.util.zip.CRC32;
 
 /**
- * The write-ahead journal of accepted work: one segment of records, each with its length and checksum.
- * When enough of the segment speaks of finished messages, what is still open is written to a new segment,
- * which then takes its place.
+ * The write-ahead journal of accepted messages: one segment file of records, each with its length and checksum.
+ * When records of finished messages take up too much of the segment, compaction writes the unfinished messages to a
+ * new segment, which then replaces the old one.
  *
- * <p>Appending needs no sync: what was written outlasts the process, and nothing outlasts the machine.
+ * <p>Appends are not synced to disk: written data survives the end of the process, and the state folder does not
+ * survive the loss of the machine in any case.
+ *
+ * <p>A record is its payload's length (int), the payload's CRC-32 (int) and the payload, which begins with the record
+ * type (byte) and the message number (long). Record types and the order of the fields are stored data and must not
+ * change. Not thread-safe: used on the event loop alone.
  */
 final class Journal implements AutoCloseable {
-    // Shares of the disk. Both segments are there during rewriting: 0.5 + 0.4 at the most.
-    private static final double MAX_UNFINISHED_SHARE = 0.3; // what is open when a message is taken on
-    private static final double COMPACTION_THRESHOLD_SHARE = 0.1; // then the segment is rewritten
-    private static final double SEGMENT_SOFT_LIMIT_SHARE = 0.45; // for what makes the relay owe more
-    private static final double SEGMENT_HARD_LIMIT_SHARE = 0.5; // so that an end has room without a rewrite
-    private static final long COMPACTION_RETRY_NANOS = 1_000_000_000; // after a rewrite that failed
+    // Shares of the disk budget. During compaction the old and the new segment exist side by side and take at most
+    // 0.5 + 0.4 of it.
+    /** Records of unfinished messages may take this share; beyond it no further message is accepted. */
+    private static final double MAX_UNFINISHED_SHARE = 0.3;
+    /** The segment is compacted when records of finished messages take more than this share. */
+    private static final double COMPACTION_THRESHOLD_SHARE = 0.1;
+    /** Limit of the segment for records that add work for the relay: accepted messages and attempts. */
+    private static final double SEGMENT_SOFT_LIMIT_SHARE = 0.45;
+    /** Limit for all other records: results and ends of messages still have room without a compaction. */
+    private static final double SEGMENT_HARD_LIMIT_SHARE = 0.5;
+    /** Least time between a compaction that failed and the next one. */
+    private static final long COMPACTION_RETRY_NANOS = 1_000_000_000;
 
     private static final String SEGMENT_NAME_FORMAT = "journal-%010d.log";
     private static final String TEMPORARY_SEGMENT_NAME = "journal.new";
     private static final int RECORD_HEADER_BYTES = Integer.BYTES * 2;
 
+    /** Largest attempt number that replay accepts; a record with a larger one counts as damaged. */
     private static final int MAX_ATTEMPTS = 10_000;
 
+    // Record types, stored as numbers: they must not change.
+    /** A message as accepted, written by former versions without its terms. */
     private static final int ACCEPTED_WITHOUT_TERMS = 1;
+    /** An attempt that is about to be sent. */
     private static final int ATTEMPT = 2;
+    /** The result of an attempt. */
     private static final int RESULT = 3;
+    /** How a message ends undelivered; the platform has not acknowledged the notice yet. */
     private static final int END_DECIDED = 4;
+    /** Nothing remains to be done for the message. */
     private static final int DONE = 5;
-    /** As accepted, with the terms; the records of former versions lack them. */
+    /** A message as accepted, with its terms. */
     private static final int ACCEPTED_WITH_TERMS = 6;
 
+    /** Writes the payload of one record. */
     private interface PayloadWriter {
         void write(DataOutputStream out) throws IOException;
     }
 
+    /** A message without a DONE record. */
     private static final class UnfinishedMessage {
         final Message message;
+        /** Size of its records in the segment. */
         long sizeBytes;
 
         UnfinishedMessage(Message message) {
@@ -61,23 +82,32 @@
     }
 
     private final Path folder;
+    /** Disk limit of the relay as configured. */
     private final long diskBytes;
-    /** What of it this process may plan with: another may have a part of its own meanwhile. */
+    /** The part of {@link #diskBytes} that this process may use; during an upgrade another process shares the disk. */
     private long allottedBytes;
-    /** What of that part other files take. */
+    /** The part of {@link #allottedBytes} that is reserved for files other than the journal. */
     private long otherFilesBytes;
     private boolean compactionEnabled = true;
+    /** By message number, in the order in which they were added. */
     private final Map<Long, UnfinishedMessage> unfinishedMessages = new LinkedHashMap<>();
     private FileChannel segmentChannel;
     private Path segmentPath;
     private long segmentNumber;
+    /** Length of the segment up to the end of its last whole record. */
     private long segmentBytes;
+    /** The part of {@link #segmentBytes} that holds records of unfinished messages. */
     private long unfinishedBytes;
     private long lastMessageNumber;
+    /** The segment may end with a partial record that could not be removed; nothing is appended any more. */
     private boolean broken;
+    /** No compaction before this time; moves into the future when one fails. */
     private long nextCompactionAtNanos = System.nanoTime();
 
-    /** Opens the journal of a folder and replays it; a torn tail is cut off. */
+    /**
+     * Opens the journal of a folder and replays it. The segment is truncated at the first record that is incomplete
+     * or can't be read.
+     */
     Journal(Path folder, long disk) throws IOException {
         this.folder = folder;
         allottedBytes = disk;
@@ -87,7 +117,7 @@
         List<Path> segments = listSegments(folder);
         segmentPath = folder.resolve(SEGMENT_NAME_FORMAT.formatted(0));
         if (!segments.isEmpty()) {
-            // Guards against a kill between a rewrite and the removal of what it replaces: the newest is whole.
+            // A kill between a compaction and the removal of the old segment leaves both; the newest is complete.
             segmentPath = segments.get(segments.size() - 1);
             segmentNumber = Long.parseLong(segmentPath.getFileName().toString().replaceAll("\\D", ""));
             for (Path old : segments.subList(0, segments.size() - 1)) {
@@ -99,13 +129,13 @@
         replay();
     }
 
-    /** Reads records; it has no file. */
+    /** Replays records in memory, without a file. */
     private Journal() {
         folder = null;
         diskBytes = 0;
     }
 
-    /** All records of a message, as another process takes them in. */
+    /** Encodes all records of a message, for another process that reads them with {@link #unpack}. */
     static byte[] pack(Message message) {
         try {
             return encodeRecords(message);
@@ -114,7 +144,7 @@
         }
     }
 
-    /** The message that another process has packed. */
+    /** Decodes a message that another process encoded with {@link #pack}. */
     static Message unpack(byte[] records) throws IOException {
         Journal reader = new Journal();
         ByteBuffer all = ByteBuffer.wrap(records);
@@ -127,14 +157,14 @@
         return reader.unfinishedMessages().get(0);
     }
 
-    /** The messages that are not done in a folder whose owner has gone. */
+    /** Returns the unfinished messages in the folder of a process that has ended. */
     static List<Message> readUnfinishedMessages(Path folder, long disk) throws IOException {
         try (Journal left = new Journal(folder, disk)) {
             return left.unfinishedMessages();
         }
     }
 
-    /** Removes what was left in a folder, once it is adopted. */
+    /** Deletes the segments of a folder whose messages have been adopted. */
     static void deleteSegments(Path folder) throws IOException {
         for (Path segment : listSegments(folder)) {
             Files.delete(segment);
@@ -148,30 +178,35 @@
     }
 
     /**
-     * Guards against a disk that two processes fill together: until this one is alone again it plans with half, and
-     * one that is about to leave needs no room for a rewrite.
+     * Limits this process to a part of the disk while another process of the relay uses the disk too; without this,
+     * the two together could exceed it. The newer process ({@code leaving} false) uses half of the disk. The older one
+     * ({@code leaving} true) no longer compacts, so it needs no room for a second segment.
      */
     void shareDisk(boolean leaving) {
         allottedBytes = leaving ? allottedBytes : diskBytes / 2;
         compactionEnabled = !leaving;
     }
 
-    /** The whole disk is this process's own again. */
+    /** Gives this process the whole disk again, once no other process uses it. */
     void useWholeDisk() {
         allottedBytes = diskBytes;
         compactionEnabled = true;
     }
 
-    /** Leaves so many bytes of the disk to other files from now on. */
+    /** Reserves disk space for files other than the journal; replaces the former reservation. */
     void reserveForOtherFiles(long bytes) {
         otherFilesBytes = bytes;
     }
 
+    /** Disk space that the shares above refer to. */
     private long budgetBytes() {
         return allottedBytes - otherFilesBytes;
     }
 
-    /** Records a message that another process has let go of, with all that is known of it. */
+    /**
+     * Records a message of another process, with its attempts and results. Returns false where there is no room or the
+     * disk fails.
+     */
     boolean recordAdopted(Message message) {
         byte[] records = pack(message);
         if (!append(records, SEGMENT_HARD_LIMIT_SHARE)) {
@@ -181,41 +216,46 @@
         return true;
     }
 
+    /** A number above those of all messages that the journal has recorded. */
     long nextMessageNumber() {
         return lastMessageNumber + 1;
     }
 
-    /** Every message that is not done, in the order accepted. */
+    /** All messages without a DONE record, in the order recorded. */
     List<Message> unfinishedMessages() {
         return unfinishedMessages.values().stream().map(o -> o.message).toList();
     }
 
-    /** Records that a message is taken on; false where there is no room or the disk fails. */
+    /** Records an accepted message. Returns false where there is no room or the disk fails. */
     boolean recordAccepted(Message message) {
         byte[] record = encodeRecord(acceptedPayload(message));
-        if (unfinishedBytes + record.length > MAX_UNFINISHED_SHARE * budgetBytes() || !append(record, SEGMENT_SOFT_LIMIT_SHARE)) {
+        if (unfinishedBytes + record.length > MAX_UNFINISHED_SHARE * budgetBytes()
+                || !append(record, SEGMENT_SOFT_LIMIT_SHARE)) {
             return false;
         }
         addUnfinishedMessage(message, record.length);
         return true;
     }
 
-    /** Records an attempt before its first byte leaves; false where it can't be recorded. */
+    /** Records an attempt before its first byte is sent. Returns false where it can't be recorded. */
     boolean recordAttempt(Message.Attempt attempt) {
         return appendForMessage(attempt.message, attemptPayload(attempt.message, attempt), SEGMENT_SOFT_LIMIT_SHARE);
     }
 
-    /** Records what is known of an attempt that has ended, above all the proof that it never ran. */
+    /**
+     * Records the result of an attempt that has ended; it matters most where the result proves that the attempt took
+     * no effect.
+     */
     void recordResult(Message.Attempt attempt) {
         appendForMessage(attempt.message, resultPayload(attempt.message, attempt), SEGMENT_HARD_LIMIT_SHARE);
     }
 
-    /** Records the end that the platform is still to be told of. */
+    /** Records how a message ends undelivered, before the platform is notified of it. */
     void recordEnd(Message message) {
         appendForMessage(message, endPayload(message), SEGMENT_HARD_LIMIT_SHARE);
     }
 
-    /** Records that nothing more is owed for a message. */
+    /** Records that nothing remains to be done for a message, and compacts the segment where that is due. */
     void recordDone(Message message) {
         boolean noted = appendForMessage(message, out -> {
             out.writeByte(DONE);
@@ -223,7 +263,8 @@
         }, SEGMENT_HARD_LIMIT_SHARE);
         boolean known = unfinishedMessages.containsKey(message.number);
         removeUnfinishedMessage(message.number);
-        // Guards against a full disk that would bring a finished message back: a rewrite leaves it out.
+        // Without its DONE record, as on a full disk, a finished message would be resumed after a restart. Compaction
+        // leaves the message out.
         boolean wanted = known && !noted || segmentBytes - unfinishedBytes > COMPACTION_THRESHOLD_SHARE * budgetBytes();
         if (wanted && compactionEnabled && System.nanoTime() - nextCompactionAtNanos >= 0) {
             compact();
@@ -235,6 +276,7 @@
         segmentChannel.close();
     }
 
+    /** Appends a record of an unfinished message; false where the message is unknown or the record not written. */
     private boolean appendForMessage(Message message, PayloadWriter payload, double share) {
         UnfinishedMessage entry = unfinishedMessages.get(message.number);
         byte[] record = encodeRecord(payload);
@@ -261,7 +303,9 @@
         }
     }
 
-    /** Appends a record whole or, where the disk is full or fails, not at all. */
+    /**
+     * Appends a whole record, or nothing where the segment would exceed {@code share} of the budget or the disk fails.
+     */
     private boolean append(byte[] record, double share) {
         if (broken || segmentBytes + record.length > share * budgetBytes()) {
             return false;
@@ -277,7 +321,7 @@
         }
     }
 
-    /** Guards against half a record that later ones would follow: none of them could be replayed. */
+    /** Removes a partly written record: replay would stop at it and lose all records appended after it. */
     private void truncatePartialRecord() {
         try {
             segmentChannel.truncate(segmentBytes);
@@ -294,6 +338,7 @@
         }
     }
 
+    /** Writes the unfinished messages to a new segment and replaces the current one with it. */
     private void compact() {
         Path unfinished = folder.resolve(TEMPORARY_SEGMENT_NAME);
         Path next = folder.resolve(SEGMENT_NAME_FORMAT.formatted(segmentNumber + 1));
@@ -330,6 +375,7 @@
         }
     }
 
+    /** All records of a message: accepted, attempts with their results, end. */
     private static byte[] encodeRecords(Message message) throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.write(encodeRecord(acceptedPayload(message)));
@@ -392,10 +438,11 @@
         };
     }
 
+    /** One record: its header, then the payload. */
     private static byte[] encodeRecord(PayloadWriter payload) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeLong(0); // the head's place
+            out.writeLong(0); // placeholder for the header, filled in below
             payload.write(out);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -407,8 +454,10 @@
         return record;
     }
 
+    /** Replays the segment and truncates it at the first record that is incomplete, corrupt or can't be read. */
     private void replay() throws IOException {
-        ByteBuffer all = ByteBuffer.allocate((int) Math.min(segmentChannel.size(), Integer.MAX_VALUE - RECORD_HEADER_BYTES));
+        ByteBuffer all = ByteBuffer.allocate(
+                (int) Math.min(segmentChannel.size(), Integer.MAX_VALUE - RECORD_HEADER_BYTES));
         while (all.hasRemaining() && segmentChannel.read(all, all.position()) >= 0) {
             continue;
         }
@@ -428,7 +477,7 @@
         }
     }
 
-    /** The next record's payload, or null at the end and where a record is not whole. */
+    /** The payload of the next record; null at the end, and where the record is incomplete or its checksum wrong. */
     private static byte[] readNextPayload(ByteBuffer all) {
         if (all.remaining() < RECORD_HEADER_BYTES) {
             return null;
@@ -445,13 +494,15 @@
         return (int) crc.getValue() == expected ? payload : null;
     }
 
+    /** Applies one record. One of a message that is unknown or finished has no effect. */
     private void replay(byte[] payload) throws IOException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(payload))) {
             int type = in.readByte();
             long number = in.readLong();
             if (type == ACCEPTED_WITHOUT_TERMS || type == ACCEPTED_WITH_TERMS) {
                 Message.Content content = readContent(in);
-                Policy.RequestTerms terms = type == ACCEPTED_WITHOUT_TERMS ? null : readTerms(in, content.requestClass());
+                Policy.RequestTerms terms = type == ACCEPTED_WITHOUT_TERMS ? null
+                        : readTerms(in, content.requestClass());
                 addUnfinishedMessage(new Message(number, content, terms), payload.length + RECORD_HEADER_BYTES);
                 return;
             }
@@ -475,7 +526,10 @@
         }
     }
 
-    /** Guards against attempts that a failing disk left out: they were not sent, but later ones keep their numbers. */
+    /**
+     * Adds an attempt. Numbers are missing where an attempt could not be recorded: it was not sent, but the later ones
+     * keep their numbers. It is added as {@code NOT_SENT}.
+     */
     private static void replayAttempt(Message message, int number, String route, long sentAt) throws IOException {
         if (number < message.attempts.size() || number > MAX_ATTEMPTS) {
             throw new IOException("attempt " + number + " is out of order");
@@ -486,7 +540,10 @@
         message.addAttempt(route, sentAt);
     }
 
-    /** Guards against the result of an attempt that found no room: taken for damage, it would end the replay. */
+    /**
+     * Sets the result of an attempt. An attempt that could not be recorded for lack of room may still have a result
+     * record; that is ignored, as treating it as damage would end the replay.
+     */
     private static void replayResult(Message message, int number, Policy.Result result) {
         if (number < message.attempts.size()) {
             message.attempts.get(number).result = result;
@@ -505,6 +562,7 @@
         return new Message.Content(callId, requestClass, tenant, key, deadline, destination, body);
     }
 
+    /** The two enums are stored by position. */
     private static void writeTerms(DataOutputStream out, Policy.RequestTerms terms) throws IOException {
         Policy.RequestClass type = terms.requestClass();
         out.writeByte(type.idempotency().ordinal());
@@ -525,6 +583,7 @@
         return new Policy.RequestTerms(type, in.readInt());
     }
 
+    /** Writes a text that may be null: whether there is one, then the text. */
     private static void writeOptional(DataOutputStream out, String text) throws IOException {
         out.writeBoolean(text != null);
         if (text != null) {
--- a/src/main/java/drumdeal/relay/PredecessorLink.java
+++ b/src/main/java/drumdeal/relay/PredecessorLink.java
@@ -15,24 +15,35 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** The newer process's side of an upgrade: takes over from the older one, and from what it leaves behind. */
+/**
+ * The newer process's side of an upgrade: takes over from one older process, and adopts the messages that it leaves in
+ * its process folder when it ends. Used on the event loop alone.
+ */
 final class PredecessorLink {
-    /** Guards against an older process that hangs: the newer one then serves without what that one knows. */
+    /** How long to wait for the older process's snapshot; if that process hangs, this one serves without it. */
     private static final long SNAPSHOT_TIMEOUT_MILLIS = 2000;
+    /** How often to check whether the older process has ended. */
     private static final long LOCK_POLL_MILLIS = 20;
 
-    /** What the relay takes over. */
+    /** What the relay does with the state and the messages of an older process. */
     interface TakeoverHandler {
+        /** Applies the state of the older process, which takes no more decisions. */
         void applySnapshot(HandoverSnapshot standing);
 
-        /** Puts a message into the journal, to be run once it was let go. */
+        /** Writes a message to the journal; its delivery must wait for {@link #takeOwnership}. */
         Message storeMessage(byte[] records) throws IOException;
 
+        /** The older process no longer holds the message: its delivery continues in this one. */
         void takeOwnership(Message message);
 
+        /**
+         * A call of the older process has ended. {@code wait} is the wait that the host asked for, 0 where none, and
+         * {@code elapsed} the time that the call took, both in microseconds; {@code callsOut} is the number of calls
+         * that the older process still has in flight.
+         */
         void onPredecessorOutcome(String route, Policy.Result result, long wait, long elapsed, int callsOut);
 
-        /** The older process has ended; what it has left in its part is adopted. */
+        /** The older process has ended: takes over the messages left in its folder, which this process has locked. */
         void adoptFolder(StateFolder.LockedFolder part) throws IOException;
     }
 
@@ -41,14 +52,16 @@
     private final TakeoverHandler handler;
     private final Consumer<HandoverSnapshot> onReady;
     private final Runnable onPredecessorEnded;
-    /** Messages that the older process has not let go of yet, by their number there. */
+    /** Messages stored here that the older process has not released yet, by their number in that process. */
     private final Map<Long, Message> unreleasedMessages = new HashMap<>();
+    /** Null until {@link #takeOver}, and where no connection could be attempted. */
     private Channel channel;
     private boolean readyReported;
 
     /**
-     * {@code next} is told once, as soon as this process may listen for clients, where the other one stands, or null
-     * where that is not known; {@code gone} runs once that one has ended.
+     * Prepares to take over from the process that owns folder {@code part}. {@code next} is called once, as soon as
+     * this process may listen for clients, with the snapshot of the older one, or with null where there is none.
+     * {@code gone} runs once the older process has ended and its messages are adopted.
      */
     PredecessorLink(EventLoop loop, Path part, TakeoverHandler heir, Consumer<HandoverSnapshot> next, Runnable gone) {
         this.loop = loop;
@@ -58,6 +71,7 @@
         this.onPredecessorEnded = gone;
     }
 
+    /** Connects to the older process and asks to take over. */
     void takeOver() {
         ChannelFuture opening;
         try {
@@ -89,7 +103,7 @@
         }, SNAPSHOT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** This process listens for clients. */
+    /** Tells the older process, where connected, that this one listens for clients. */
     void sendListening() {
         if (channel != null && channel.isActive()) {
             Handover.send(channel, Handover.FrameType.LISTENING, out -> { });
@@ -114,8 +128,8 @@
                     handler.takeOwnership(message);
                 }
             }
-            case OUTCOME -> handler.onPredecessorOutcome(in.readUTF(), Policy.Result.valueOf(in.readUTF()), in.readLong(),
-                    in.readLong(), in.readInt());
+            case OUTCOME -> handler.onPredecessorOutcome(in.readUTF(), Policy.Result.valueOf(in.readUTF()),
+                    in.readLong(), in.readLong(), in.readInt());
             default -> throw new IOException("unexpected " + word);
         }
     }
@@ -132,7 +146,10 @@
         adoptOnceUnlocked();
     }
 
-    /** Adopts once the older process has ended: while it lives it may yet send what it has not let go of. */
+    /**
+     * Takes over all messages of the older process once that has ended, which its lock shows. While it runs, it may
+     * still send a message that it has not released, and two processes would deliver the same message.
+     */
     private void adoptOnceUnlocked() {
         try (StateFolder.LockedFolder left = StateFolder.tryLock(predecessorFolder)) {
             if (left != null) {
@@ -143,7 +160,8 @@
                 return;
             }
         } catch (IOException e) {
-            Log.write("handover: what is left in " + predecessorFolder.getFileName() + " can't be adopted: " + e.getMessage());
+            Log.write("handover: what is left in " + predecessorFolder.getFileName() + " can't be adopted: "
+                    + e.getMessage());
         }
         loop.schedule(this::adoptOnceUnlocked, LOCK_POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/drumdeal/relay/RouteStateFile.java
+++ b/src/main/java/drumdeal/relay/RouteStateFile.java
@@ -8,32 +8,37 @@
 import java.util.zip.CRC32;
 
 /**
- * What the decision module has learned of its routes, in a file that outlasts the process. Guards against a fleet that
- * is killed together and comes back with every circuit closed and every pace without limit.
+ * Stores what the decision module has learned of its routes in a file that survives the process. Without it, a fleet
+ * whose relays are all killed at once would restart with every circuit closed and no limit on any route's rate.
+ *
+ * <p>The file holds a version (int), the time of writing (long, microseconds of the {@link Clock}), a CRC-32 of that
+ * time and the state (int), and the state as the decision module encodes it.
  */
 final class RouteStateFile {
-    /** What is older tells nothing of now: outages and lowered limits last seconds. */
+    /** State older than this is not used: outages and lowered limits last seconds. */
     static final long MAX_AGE_MICROS = 15_000_000;
     private static final int VERSION = 1;
-    /** Of the disk, for the file that stands; for a moment the next one stands beside it. */
+    /** The file may take the disk limit divided by this; while it is replaced, the new file exists beside it. */
     private static final int MAX_DISK_SHARE_DIVISOR = 8;
+    /** Allowance for each file's last block, which is only partly used. */
     private static final int BLOCK_BYTES = 512;
+    /** Version, time of writing, checksum. */
     private static final int HEADER_BYTES = Integer.BYTES + Long.BYTES + Integer.BYTES;
     private static final String FILE_NAME = "health";
 
     private RouteStateFile() { }
 
     /**
-     * Replaces the file and tells how much of the disk it wants; an error costs the next process what was learned,
-     * nothing else.
+     * Replaces the file and returns the bytes of disk to reserve for it and its next replacement; 0 where the state is
+     * too large to be written. A failure has no other effect than that the next process may start without the state.
      */
     static long write(Path folder, byte[] memory, long now, long disk) {
         if (HEADER_BYTES + memory.length > disk / MAX_DISK_SHARE_DIVISOR) {
             Log.write("health: there is no room for " + memory.length + " bytes");
             return 0;
         }
-        byte[] file = ByteBuffer.allocate(HEADER_BYTES + memory.length).putInt(VERSION).putLong(now).putInt(checksum(memory, now))
-                .put(memory).array();
+        byte[] file = ByteBuffer.allocate(HEADER_BYTES + memory.length).putInt(VERSION).putLong(now)
+                .putInt(checksum(memory, now)).put(memory).array();
         Path unfinished = folder.resolve(FILE_NAME + ".new");
         try {
             Files.write(unfinished, file);
@@ -44,7 +49,7 @@
         return 2L * (file.length + BLOCK_BYTES);
     }
 
-    /** What the last process has learned; null, and one line for staff, where nothing of it can be relied on. */
+    /** Returns the state that the last process wrote. Where it can't be used, logs the reason and returns null. */
     static byte[] read(Path folder, long now, long disk) {
         try {
             Path path = folder.resolve(FILE_NAME);
--- a/src/main/java/drumdeal/relay/StateFolder.java
+++ b/src/main/java/drumdeal/relay/StateFolder.java
@@ -11,14 +11,15 @@
 import java.util.List;
 
 /**
- * The folder that outlasts the process. Two versions of a relay share it during an upgrade: each writes to a part of
- * its own alone, and a lock, which goes with the process however it ends, tells whose a part is.
+ * The folder whose files survive the process. During an upgrade two processes of one relay share it. Each writes only
+ * to a process folder of its own: the root itself or one of the subfolders 1 to 3. The owner holds a lock on a file in
+ * its process folder; the operating system releases the lock however the process ends.
  */
 final class StateFolder {
     private static final int MAX_PROCESS_FOLDERS = 4;
     private static final String LOCK_FILE_NAME = "owner.lock";
 
-    /** A part that this process owns until it lets go of the lock. */
+    /** A process folder that this process owns until {@link #close}. */
     record LockedFolder(Path folder, FileLock lock) implements AutoCloseable {
         @Override
         public void close() throws IOException {
@@ -29,7 +30,7 @@
     private final Path root;
     private final LockedFolder ownFolder;
 
-    /** Takes the first part that nobody owns. */
+    /** Locks the first process folder that no other process owns. */
     StateFolder(Path root) throws IOException {
         this.root = root;
         LockedFolder free = null;
@@ -42,26 +43,29 @@
         ownFolder = free;
     }
 
+    /** The process folder of a number from 0 to {@link #MAX_PROCESS_FOLDERS} - 1; 0 is the root. */
     private Path processFolder(int number) {
         return number == 0 ? root : root.resolve(Integer.toString(number));
     }
 
+    /** The process folder that this process owns. */
     Path ownFolder() {
         return ownFolder.folder();
     }
 
-    /** The parts that other processes own or have left behind. */
+    /** The process folders that other processes own, or owned when they ended. */
     List<Path> otherFolders() {
         List<Path> others = new ArrayList<>();
         for (int i = 0; i < MAX_PROCESS_FOLDERS; i++) {
-            if (!processFolder(i).equals(ownFolder.folder()) && Files.exists(processFolder(i).resolve(LOCK_FILE_NAME))) {
+            if (!processFolder(i).equals(ownFolder.folder())
+                    && Files.exists(processFolder(i).resolve(LOCK_FILE_NAME))) {
                 others.add(processFolder(i));
             }
         }
         return others;
     }
 
-    /** Takes a part; null while another process owns it. */
+    /** Locks a process folder; null while it is owned, by another process or by this one. */
     static LockedFolder tryLock(Path folder) throws IOException {
         Files.createDirectories(folder);
         FileChannel channel = FileChannel.open(folder.resolve(LOCK_FILE_NAME), StandardOpenOption.CREATE,
@@ -70,7 +74,7 @@
         try {
             lock = channel.tryLock();
         } catch (OverlappingFileLockException e) {
-            // It is this process's own.
+            // This process holds the lock already.
         } finally {
             if (lock == null) {
                 channel.close();
--- a/src/main/java/drumdeal/relay/Stats.java
+++ b/src/main/java/drumdeal/relay/Stats.java
@@ -9,9 +9,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Totals since the start of the process, for operators; unlike {@link IntervalCounters} they are never cleared. */
+/** Totals since the start of the process, for operators. Unlike {@link IntervalCounters}, they are never reset. */
 final class Stats {
-    /** How the messages of one class have ended. */
+    /** Messages of one class by the way they ended. */
     private static final class ClassTotals {
         private long completed;
         private long rejected;
@@ -24,7 +24,7 @@
     private long reloads;
     private long reloadErrors;
 
-    /** A class has its entry from now on, also once it is dropped. */
+    /** Adds an entry for each class; it stays after the settings drop the class. */
     void registerClasses(Collection<String> names) {
         names.forEach(this::totalsFor);
     }
@@ -45,7 +45,7 @@
         totalsFor(name).failed++;
     }
 
-    /** So many messages have been written whole to an endpoint. */
+    /** Counts messages that have been written completely to an endpoint. */
     void countWritten(int messages) {
         writtenMessages += messages;
     }
@@ -58,7 +58,10 @@
         reloadErrors++;
     }
 
-    /** All figures as JSON, with those that stand for this moment alone. */
+    /**
+     * All totals as a JSON object, with three current figures: messages whose end is not decided ({@code pending}),
+     * hosts in the list ({@code members}) and routes that are avoided now ({@code unavailable}).
+     */
     String toJson(int pending, int members, int unavailable) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = jsonFactory.createGenerator(text)) {
--- a/src/main/java/drumdeal/relay/SuccessorLink.java
+++ b/src/main/java/drumdeal/relay/SuccessorLink.java
@@ -16,34 +16,49 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** The older process's side of an upgrade: waits for a newer one and hands over to the first that asks. */
+/**
+ * The older process's side of an upgrade: waits for a newer process and hands over to the first that asks. Used on the
+ * event loop alone.
+ */
 final class SuccessorLink {
-    /** A newer process that does not listen so long after it was told all is given up, and this one serves on. */
+    /**
+     * How long after the snapshot a newer process must listen for clients. If it does not, its connection is closed and
+     * this process resumes its decisions.
+     */
     private static final long LISTEN_TIMEOUT_MILLIS = 2000;
-    /** Guards against clients that wait while hundreds of messages pass at once: neither process reads them then. */
+    /**
+     * Most messages sent to the newer process and not acknowledged. With hundreds at once both processes would be busy
+     * with them and read no requests, and clients would wait.
+     */
     private static final int MAX_UNACKNOWLEDGED_MESSAGES = 16;
 
-    /** What the relay does for its successor. */
+    /** What the relay does during a handover. */
     interface HandoverHandler {
-        /** Takes no decision from now on. */
+        /** Makes the relay take no more decisions, and returns its state for the successor. */
         HandoverSnapshot suspendDecisions();
 
-        /** The successor is gone before it served: all goes on as it was. */
+        /** The successor disconnected before it listened for clients: this process takes decisions again. */
         void resumeDecisions();
 
-        /** The successor listens: what is at rest, now and later, is to be passed on. */
+        /**
+         * The successor listens for clients: messages are to be passed to {@link #offer}, each as soon as its client
+         * has its answer and no attempt is in flight.
+         */
         void handOver();
 
-        /** The successor owns a message. */
+        /** The successor has the message in its journal and owns it now. */
         void onHandedOver(Message message);
     }
 
     private final EventLoop loop;
     private final HandoverHandler handler;
-    /** Messages to be passed on, and those on the way, by their number here. */
+    /** Messages still to be sent, by their number in this process. */
     private final Map<Long, Message> queuedMessages = new LinkedHashMap<>();
+    /** Messages sent and not acknowledged yet, by their number in this process. */
     private final Map<Long, Message> unacknowledgedMessages = new HashMap<>();
+    /** Null until a newer process asks to take over, and again after it disconnects early. */
     private Channel successorChannel;
+    /** The successor listens for clients; the handover can't be undone any more. */
     private boolean committed;
 
     SuccessorLink(EventLoop loop, HandoverHandler elder) {
@@ -51,13 +66,13 @@
         this.handler = elder;
     }
 
-    /** Waits in the part of the folder that this process owns; without the socket an upgrade takes longer. */
+    /** Listens on the socket in this process's own folder. Where that fails, an upgrade only takes longer. */
     void listen(Path part) {
         try {
-            // Guards against what a process that was killed has left there.
+            // A process that was killed leaves its socket file behind, and binding to it would fail.
             Files.deleteIfExists(Handover.socketPath(part));
-            new ServerBootstrap().group(loop).channel(NioServerDomainSocketChannel.class).handler(new AcceptErrorHandler())
-                    .childHandler(new ChannelInitializer<Channel>() {
+            new ServerBootstrap().group(loop).channel(NioServerDomainSocketChannel.class)
+                    .handler(new AcceptErrorHandler()).childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel ch) {
                             Handover.attachFrameHandler(ch, (word, in) -> onFrame(ch, word, in));
@@ -73,7 +88,8 @@
     }
 
     private void onFrame(Channel channel, Handover.FrameType word, DataInputStream in) throws IOException {
-        if (word == Handover.FrameType.TAKEOVER_REQUEST && successorChannel == null && in.readInt() == Handover.VERSION) {
+        if (word == Handover.FrameType.TAKEOVER_REQUEST && successorChannel == null
+                && in.readInt() == Handover.VERSION) {
             onTakeoverRequest(channel);
         } else if (word == Handover.FrameType.LISTENING && channel == successorChannel && !committed) {
             committed = true;
@@ -104,12 +120,15 @@
         }
     }
 
-    /** True once a successor serves. */
+    /** True once a successor listens for clients. */
     boolean isCommitted() {
         return committed;
     }
 
-    /** Passes on a message that is at rest: it is the successor's once that one has it in its journal. */
+    /**
+     * Queues a message for the successor, unless it has been sent already. The message's client must have its answer,
+     * and no attempt may be in flight. The successor owns the message once it has it in its journal.
+     */
     void offer(Message message) {
         if (!unacknowledgedMessages.containsKey(message.number)) {
             queuedMessages.put(message.number, message);
@@ -119,10 +138,11 @@
 
     private void offerQueuedMessages() {
         Iterator<Message> next = queuedMessages.values().iterator();
-        while (successorChannel.isActive() && next.hasNext() && unacknowledgedMessages.size() < MAX_UNACKNOWLEDGED_MESSAGES) {
+        while (successorChannel.isActive() && next.hasNext()
+                && unacknowledgedMessages.size() < MAX_UNACKNOWLEDGED_MESSAGES) {
             Message message = next.next();
             next.remove();
-            // Guards against passing on what has run out of time while it waited here.
+            // A message whose time ran out while it was queued has ended here and must not be handed over.
             if (message.nonDelivery == null && !message.finished) {
                 unacknowledgedMessages.put(message.number, message);
                 byte[] records = Journal.pack(message);
@@ -143,7 +163,11 @@
         }
     }
 
-    /** Tells how a call ended that was out when the successor took over. */
+    /**
+     * Reports the result of a call that was in flight when the successor took over. {@code wait} is the wait that the
+     * host asked for, 0 where none, and {@code elapsed} the time that the call took, both in microseconds;
+     * {@code callsOut} is the number of calls still in flight here.
+     */
     void sendOutcome(String route, Policy.Result result, long wait, long elapsed, int callsOut) {
         Handover.send(successorChannel, Handover.FrameType.OUTCOME, out -> {
             out.writeUTF(route);
