--- a/src/main/java/drumdeal/relay/AdminServer.java
+++ b/src/main/java/drumdeal/relay/AdminServer.java
@@ -71,9 +71,9 @@
                 .option(ChannelOption.SO_REUSEADDR, true).handler(new AcceptErrorHandler())
                 .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST_BYTES),
-                                new RequestHandler());
+                    protected void initChannel(Channel connection) {
+                        connection.pipeline().addLast(new HttpServerCodec(),
+                                new HttpObjectAggregator(MAX_REQUEST_BYTES), new RequestHandler());
                     }
                 }).bind(address);
     }
@@ -90,9 +90,9 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             if (connections.size() >= MAX_CONNECTIONS) {
-                Channel first = connections.iterator().next();
-                connections.remove(first);
-                first.close();
+                Channel oldest = connections.iterator().next();
+                connections.remove(oldest);
+                oldest.close();
             }
             connections.add(ctx.channel());
             timer = ctx.executor().schedule(() -> ctx.close(), CONNECTION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
@@ -110,22 +110,22 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest call) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (!answered) {
                 answered = true;
-                FullHttpResponse answer = handleRequest(call);
-                HttpUtil.setContentLength(answer, answer.content().readableBytes());
-                answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-                ctx.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
+                FullHttpResponse response = handleRequest(request);
+                HttpUtil.setContentLength(response, response.content().readableBytes());
+                response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+                ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
             }
         }
     }
 
-    private FullHttpResponse handleRequest(FullHttpRequest call) {
-        if (call.decoderResult().isFailure()) {
+    private FullHttpResponse handleRequest(FullHttpRequest request) {
+        if (request.decoderResult().isFailure()) {
             return emptyResponse(HttpResponseStatus.BAD_REQUEST);
         }
-        HttpMethod method = switch (call.uri()) {
+        HttpMethod method = switch (request.uri()) {
             case "/healthcheck", "/stats" -> HttpMethod.GET;
             case "/healthcheck/fail", "/healthcheck/ok" -> HttpMethod.POST;
             default -> null;
@@ -133,10 +133,10 @@
         if (method == null) {
             return emptyResponse(HttpResponseStatus.NOT_FOUND);
         }
-        if (!method.equals(call.method())) {
+        if (!method.equals(request.method())) {
             return emptyResponse(HttpResponseStatus.METHOD_NOT_ALLOWED);
         }
-        switch (call.uri()) {
+        switch (request.uri()) {
             case "/stats" -> {
                 return statsResponse();
             }
@@ -151,10 +151,10 @@
     }
 
     private FullHttpResponse statsResponse() {
-        ByteBuf text = Unpooled.copiedBuffer(controls.statsJson(), StandardCharsets.UTF_8);
-        FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, text);
-        answer.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
-        return answer;
+        ByteBuf body = Unpooled.copiedBuffer(controls.statsJson(), StandardCharsets.UTF_8);
+        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body);
+        response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+        return response;
     }
 
     private static FullHttpResponse emptyResponse(HttpResponseStatus status) {
--- a/src/main/java/drumdeal/relay/Config.java
+++ b/src/main/java/drumdeal/relay/Config.java
@@ -66,13 +66,13 @@
      */
     static Config read(Map<String, String> environment) throws BadConfigException {
         Path file = Path.of(requireVariable(environment, "EDGE_CONFIG"));
-        Path state = Path.of(requireVariable(environment, "EDGE_STATE"));
+        Path stateFolder = Path.of(requireVariable(environment, "EDGE_STATE"));
         try (JsonParser parser = new JsonFactory().createParser(Files.readString(file))) {
             parser.nextToken();
             if (!(JsonReader.readValue(parser) instanceof Map<?, ?> source) || parser.nextToken() != null) {
                 throw new JsonDataException("one object is needed");
             }
-            return of(source, state, environment.get("EDGE_ADMIN_ADDR"));
+            return of(source, stateFolder, environment.get("EDGE_ADMIN_ADDR"));
         } catch (IOException e) {
             throw new BadConfigException("EDGE_CONFIG: can't be read: " + e.getMessage());
         } catch (JsonDataException | IllegalArgumentException e) {
@@ -80,26 +80,28 @@
         }
     }
 
-    private static Config of(Map<?, ?> source, Path state, String ownAdmin) {
+    private static Config of(Map<?, ?> source, Path stateFolder, String adminOverride) {
         JsonReader json = JsonReader.ofObject("config", source);
-        JsonReader params = json.object("settings");
-        JsonReader limits = json.object("limits");
-        Policy.Settings settings = JsonCodec.readSettings(Long.parseUnsignedLong(json.text("seed"), 16), params);
-        long version = -1;
+        JsonReader settingsJson = json.object("settings");
+        JsonReader limitsJson = json.object("limits");
+        Policy.Settings settings = JsonCodec.readSettings(Long.parseUnsignedLong(json.text("seed"), 16), settingsJson);
+        long knownVersion = -1;
         List<Target> known = List.of();
         if (json.value("known") != null) {
-            JsonReader list = json.object("known");
-            version = list.integer("rev");
-            known = Target.readAll(list);
+            JsonReader knownJson = json.object("known");
+            knownVersion = knownJson.integer("rev");
+            known = Target.readAll(knownJson);
         }
-        String how = params.value("stats") == null ? null : params.object("stats").textOrNull("how");
+        String reportMode = settingsJson.value("stats") == null ? null : settingsJson.object("stats").textOrNull("how");
         // During an upgrade two processes run from one file; each gets an address of its own from its environment.
-        String admin = ownAdmin == null || ownAdmin.isEmpty() ? json.textOrNull("admin_addr") : ownAdmin;
-        return new Config(parseAddress(json.text("listen")), admin == null ? null : parseAddress(admin),
-                parseAddress(json.text("discovery")), state, socketLimit(limits),
-                (long) (limits.number("disk_mb") * BYTES_PER_MIB), settings, params.secondsAsMicros("period-s", 0),
-                params.object("limits").secondsAsMicros("conn-idle-s"), how != null && !how.equals("off"), version,
-                known, source);
+        String adminText = adminOverride == null || adminOverride.isEmpty() ? json.textOrNull("admin_addr")
+                : adminOverride;
+        return new Config(parseAddress(json.text("listen")), adminText == null ? null : parseAddress(adminText),
+                parseAddress(json.text("discovery")), stateFolder, socketLimit(limitsJson),
+                (long) (limitsJson.number("disk_mb") * BYTES_PER_MIB), settings,
+                settingsJson.secondsAsMicros("period-s", 0),
+                settingsJson.object("limits").secondsAsMicros("conn-idle-s"),
+                reportMode != null && !reportMode.equals("off"), knownVersion, known, source);
     }
 
     /**
@@ -112,46 +114,47 @@
     }
 
     /** Compares the JSON values of both files at one path; returns as {@link #findMissingSetting} does. */
-    private static String findMissingPath(String where, Object here, Object there) {
-        if (here instanceof Map<?, ?> members) {
-            if (!(there instanceof Map<?, ?> others)) {
-                return where;
+    private static String findMissingPath(String path, Object current, Object later) {
+        if (current instanceof Map<?, ?> currentMembers) {
+            if (!(later instanceof Map<?, ?> laterMembers)) {
+                return path;
             }
-            for (Map.Entry<?, ?> member : members.entrySet()) {
-                String path = where + "/" + member.getKey();
-                String lack = OPTIONAL_PATHS.contains(path) ? null
-                        : findMissingPath(path, member.getValue(), others.get(member.getKey()));
-                if (lack != null) {
-                    return lack;
+            for (Map.Entry<?, ?> member : currentMembers.entrySet()) {
+                String memberPath = path + "/" + member.getKey();
+                String missing = OPTIONAL_PATHS.contains(memberPath) ? null
+                        : findMissingPath(memberPath, member.getValue(), laterMembers.get(member.getKey()));
+                if (missing != null) {
+                    return missing;
                 }
             }
             return null;
         }
-        if (here instanceof List<?> entries) {
-            return there instanceof List<?> others ? findMissingPathInEntries(where, entries, others) : where;
+        if (current instanceof List<?> currentEntries) {
+            return later instanceof List<?> laterEntries
+                    ? findMissingPathInEntries(path, currentEntries, laterEntries) : path;
         }
-        boolean alike = here == null || here instanceof Number && there instanceof Number
-                || there != null && here.getClass() == there.getClass();
-        return alike ? null : where;
+        boolean sameType = current == null || current instanceof Number && later instanceof Number
+                || later != null && current.getClass() == later.getClass();
+        return sameType ? null : path;
     }
 
     /**
      * Compares two lists. Entries may have been added or removed, but each entry of the later list needs the members
      * that all entries of the current list have in common.
      */
-    private static String findMissingPathInEntries(String where, List<?> here, List<?> there) {
-        if (here.isEmpty() || !here.stream().allMatch(entry -> entry instanceof Map)) {
+    private static String findMissingPathInEntries(String path, List<?> currentEntries, List<?> laterEntries) {
+        if (currentEntries.isEmpty() || !currentEntries.stream().allMatch(entry -> entry instanceof Map)) {
             return null;
         }
-        Map<Object, Object> common = new HashMap<>((Map<?, ?>) here.get(0));
-        here.forEach(entry -> common.keySet().retainAll(((Map<?, ?>) entry).keySet()));
-        return there.stream().map(entry -> findMissingPath(where, common, entry)).filter(Objects::nonNull).findFirst()
-                .orElse(null);
+        Map<Object, Object> commonMembers = new HashMap<>((Map<?, ?>) currentEntries.get(0));
+        currentEntries.forEach(entry -> commonMembers.keySet().retainAll(((Map<?, ?>) entry).keySet()));
+        return laterEntries.stream().map(entry -> findMissingPath(path, commonMembers, entry))
+                .filter(Objects::nonNull).findFirst().orElse(null);
     }
 
     /** Reads {@code limits.sockets}, which must leave descriptors for connections. */
-    private static int socketLimit(JsonReader limits) {
-        long sockets = limits.integer("sockets");
+    private static int socketLimit(JsonReader limitsJson) {
+        long sockets = limitsJson.integer("sockets");
         if (sockets <= RESERVED_DESCRIPTORS) {
             throw new IllegalArgumentException("limits.sockets: more than " + RESERVED_DESCRIPTORS + " are needed");
         }
--- a/src/main/java/drumdeal/relay/ConfigReloader.java
+++ b/src/main/java/drumdeal/relay/ConfigReloader.java
@@ -10,47 +10,47 @@
     /** Receives the result of each reload, on the reloader's thread. */
     interface Listener {
         /** The new configuration is valid and replaces the current one. */
-        void onConfigReloaded(Config next);
+        void onConfigReloaded(Config newConfig);
 
         /** The new configuration can't be read, is incomplete or invalid; the current one stays in force. */
-        void onConfigRejected(String why);
+        void onConfigRejected(String reason);
     }
 
     private final Map<String, String> environment;
     private final Listener listener;
     private Config currentConfig;
 
-    private ConfigReloader(Map<String, String> environment, Config inForce, Listener taker) {
+    private ConfigReloader(Map<String, String> environment, Config currentConfig, Listener listener) {
         this.environment = environment;
-        this.currentConfig = inForce;
-        this.listener = taker;
+        this.currentConfig = currentConfig;
+        this.listener = listener;
     }
 
     /**
-     * Starts handling SIGHUP. A configuration that is rejected in any part is rejected as a whole, and {@code inForce}
-     * or its latest replacement stays in force.
+     * Starts handling SIGHUP. A configuration that is rejected in any part is rejected as a whole, and
+     * {@code initialConfig} or its latest replacement stays in force.
      */
-    static void reloadOnHangUp(Map<String, String> environment, Config inForce, Listener taker) {
-        ConfigReloader reload = new ConfigReloader(environment, inForce, taker);
+    static void reloadOnHangUp(Map<String, String> environment, Config initialConfig, Listener listener) {
+        ConfigReloader reloader = new ConfigReloader(environment, initialConfig, listener);
         // With more than one thread an older file could be applied after a newer one.
-        ExecutorService reader = Executors.newSingleThreadExecutor(work -> {
-            Thread thread = new Thread(work, "reload");
+        ExecutorService executor = Executors.newSingleThreadExecutor(task -> {
+            Thread thread = new Thread(task, "reload");
             thread.setDaemon(true);
             return thread;
         });
-        Signal.handle(new Signal("HUP"), signal -> reader.execute(reload::reloadConfig));
+        Signal.handle(new Signal("HUP"), signal -> executor.execute(reloader::reloadConfig));
     }
 
     private void reloadConfig() {
         try {
-            Config next = Config.read(environment);
-            String lack = currentConfig.findMissingSetting(next);
-            if (lack != null) {
-                listener.onConfigRejected("EDGE_CONFIG: " + lack + " is missing or of another kind");
+            Config newConfig = Config.read(environment);
+            String missing = currentConfig.findMissingSetting(newConfig);
+            if (missing != null) {
+                listener.onConfigRejected("EDGE_CONFIG: " + missing + " is missing or of another kind");
                 return;
             }
-            currentConfig = next;
-            listener.onConfigReloaded(next);
+            currentConfig = newConfig;
+            listener.onConfigReloaded(newConfig);
         } catch (Config.BadConfigException e) {
             listener.onConfigRejected(e.getMessage());
         }
--- a/src/main/java/drumdeal/relay/Handover.java
+++ b/src/main/java/drumdeal/relay/Handover.java
@@ -62,32 +62,32 @@
     /** Receives the frames of a connection. */
     interface FrameHandler {
         /** Handles one frame; {@code in} holds its payload. An exception closes the connection. */
-        void onFrame(FrameType word, DataInputStream in) throws IOException;
+        void onFrame(FrameType type, DataInputStream in) throws IOException;
     }
 
     private Handover() { }
 
-    static Path socketPath(Path part) {
-        return part.resolve(SOCKET_NAME);
+    static Path socketPath(Path processFolder) {
+        return processFolder.resolve(SOCKET_NAME);
     }
 
-    static UnixDomainSocketAddress socketAddress(Path part) {
-        return UnixDomainSocketAddress.of(socketPath(part));
+    static UnixDomainSocketAddress socketAddress(Path processFolder) {
+        return UnixDomainSocketAddress.of(socketPath(processFolder));
     }
 
     /** Makes a channel send and receive frames. A frame that can't be read closes the channel. */
-    static void attachFrameHandler(Channel channel, FrameHandler reader) {
+    static void attachFrameHandler(Channel channel, FrameHandler handler) {
         channel.pipeline().addLast(
                 new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, Integer.BYTES, 0, Integer.BYTES),
                 new LengthFieldPrepender(Integer.BYTES), new SimpleChannelInboundHandler<ByteBuf>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws IOException {
                         DataInputStream in = new DataInputStream(new ByteArrayInputStream(ByteBufUtil.getBytes(frame)));
-                        int word = in.readByte();
-                        if (word < 0 || word >= FrameType.values().length) {
-                            throw new IOException("unknown word " + word);
+                        int typeIndex = in.readByte();
+                        if (typeIndex < 0 || typeIndex >= FrameType.values().length) {
+                            throw new IOException("unknown word " + typeIndex);
                         }
-                        reader.onFrame(FrameType.values()[word], in);
+                        handler.onFrame(FrameType.values()[typeIndex], in);
                     }
 
                     @Override
@@ -99,9 +99,9 @@
     }
 
     /** Sends a frame on a channel prepared by {@link #attachFrameHandler}. */
-    static void send(Channel channel, FrameType word, PayloadWriter payload) {
+    static void send(Channel channel, FrameType type, PayloadWriter payload) {
         channel.writeAndFlush(Unpooled.wrappedBuffer(toBytes(out -> {
-            out.writeByte(word.ordinal());
+            out.writeByte(type.ordinal());
             payload.write(out);
         })));
     }
--- a/src/main/java/drumdeal/relay/HandoverSnapshot.java
+++ b/src/main/java/drumdeal/relay/HandoverSnapshot.java
@@ -40,14 +40,14 @@
     }
 
     static HandoverSnapshot read(DataInputStream in) throws IOException {
-        long version = in.readLong();
+        long listVersion = in.readLong();
         List<Target> targets = new ArrayList<>();
-        for (int left = in.readInt(); left > 0; left--) {
+        for (int remaining = in.readInt(); remaining > 0; remaining--) {
             Policy.ListedRoute listed = new Policy.ListedRoute(in.readUTF(), in.readInt(), in.readUTF(), in.readUTF(),
                     Policy.Availability.valueOf(in.readUTF()), in.readDouble());
             targets.add(new Target(listed, Config.parseAddress(in.readUTF())));
         }
-        byte[] memory = in.readNBytes(in.readInt());
-        return new HandoverSnapshot(version, targets, memory, in.readInt(), in.readInt());
+        byte[] learnedState = in.readNBytes(in.readInt());
+        return new HandoverSnapshot(listVersion, targets, learnedState, in.readInt(), in.readInt());
     }
 }
--- a/src/main/java/drumdeal/relay/Journal.java
+++ b/src/main/java/drumdeal/relay/Journal.java
@@ -108,10 +108,10 @@
      * Opens the journal of a folder and replays it. The segment is truncated at the first record that is incomplete
      * or can't be read.
      */
-    Journal(Path folder, long disk) throws IOException {
+    Journal(Path folder, long diskLimitBytes) throws IOException {
         this.folder = folder;
-        allottedBytes = disk;
-        diskBytes = disk;
+        allottedBytes = diskLimitBytes;
+        diskBytes = diskLimitBytes;
         Files.createDirectories(folder);
         Files.deleteIfExists(folder.resolve(TEMPORARY_SEGMENT_NAME));
         List<Path> segments = listSegments(folder);
@@ -120,8 +120,8 @@
             // A kill between a compaction and the removal of the old segment leaves both; the newest is complete.
             segmentPath = segments.get(segments.size() - 1);
             segmentNumber = Long.parseLong(segmentPath.getFileName().toString().replaceAll("\\D", ""));
-            for (Path old : segments.subList(0, segments.size() - 1)) {
-                Files.delete(old);
+            for (Path oldSegment : segments.subList(0, segments.size() - 1)) {
+                Files.delete(oldSegment);
             }
         }
         segmentChannel = FileChannel.open(segmentPath, StandardOpenOption.CREATE, StandardOpenOption.READ,
@@ -146,21 +146,21 @@
 
     /** Decodes a message that another process encoded with {@link #pack}. */
     static Message unpack(byte[] records) throws IOException {
-        Journal reader = new Journal();
-        ByteBuffer all = ByteBuffer.wrap(records);
-        for (byte[] payload = readNextPayload(all); payload != null; payload = readNextPayload(all)) {
-            reader.replay(payload);
+        Journal replayed = new Journal();
+        ByteBuffer buffer = ByteBuffer.wrap(records);
+        for (byte[] payload = readNextPayload(buffer); payload != null; payload = readNextPayload(buffer)) {
+            replayed.replay(payload);
         }
-        if (all.hasRemaining() || reader.unfinishedMessages.size() != 1) {
+        if (buffer.hasRemaining() || replayed.unfinishedMessages.size() != 1) {
             throw new IOException("these are not the records of a message");
         }
-        return reader.unfinishedMessages().get(0);
+        return replayed.unfinishedMessages().get(0);
     }
 
     /** Returns the unfinished messages in the folder of a process that has ended. */
-    static List<Message> readUnfinishedMessages(Path folder, long disk) throws IOException {
-        try (Journal left = new Journal(folder, disk)) {
-            return left.unfinishedMessages();
+    static List<Message> readUnfinishedMessages(Path folder, long diskLimitBytes) throws IOException {
+        try (Journal journal = new Journal(folder, diskLimitBytes)) {
+            return journal.unfinishedMessages();
         }
     }
 
@@ -223,7 +223,7 @@
 
     /** All messages without a DONE record, in the order recorded. */
     List<Message> unfinishedMessages() {
-        return unfinishedMessages.values().stream().map(o -> o.message).toList();
+        return unfinishedMessages.values().stream().map(entry -> entry.message).toList();
     }
 
     /** Records an accepted message. Returns false where there is no room or the disk fails. */
@@ -257,7 +257,7 @@
 
     /** Records that nothing remains to be done for a message, and compacts the segment where that is due. */
     void recordDone(Message message) {
-        boolean noted = appendForMessage(message, out -> {
+        boolean recorded = appendForMessage(message, out -> {
             out.writeByte(DONE);
             out.writeLong(message.number);
         }, SEGMENT_HARD_LIMIT_SHARE);
@@ -265,8 +265,9 @@
         removeUnfinishedMessage(message.number);
         // Without its DONE record, as on a full disk, a finished message would be resumed after a restart. Compaction
         // leaves the message out.
-        boolean wanted = known && !noted || segmentBytes - unfinishedBytes > COMPACTION_THRESHOLD_SHARE * budgetBytes();
-        if (wanted && compactionEnabled && System.nanoTime() - nextCompactionAtNanos >= 0) {
+        boolean compactionDue = known && !recorded
+                || segmentBytes - unfinishedBytes > COMPACTION_THRESHOLD_SHARE * budgetBytes();
+        if (compactionDue && compactionEnabled && System.nanoTime() - nextCompactionAtNanos >= 0) {
             compact();
         }
     }
@@ -277,10 +278,10 @@
     }
 
     /** Appends a record of an unfinished message; false where the message is unknown or the record not written. */
-    private boolean appendForMessage(Message message, PayloadWriter payload, double share) {
+    private boolean appendForMessage(Message message, PayloadWriter payload, double limitShare) {
         UnfinishedMessage entry = unfinishedMessages.get(message.number);
         byte[] record = encodeRecord(payload);
-        if (entry == null || !append(record, share)) {
+        if (entry == null || !append(record, limitShare)) {
             return false;
         }
         entry.sizeBytes += record.length;
@@ -304,10 +305,11 @@
     }
 
     /**
-     * Appends a whole record, or nothing where the segment would exceed {@code share} of the budget or the disk fails.
+     * Appends a whole record, or nothing where the segment would exceed {@code limitShare} of the budget or the disk
+     * fails.
      */
-    private boolean append(byte[] record, double share) {
-        if (broken || segmentBytes + record.length > share * budgetBytes()) {
+    private boolean append(byte[] record, double limitShare) {
+        if (broken || segmentBytes + record.length > limitShare * budgetBytes()) {
             return false;
         }
         try {
@@ -331,44 +333,44 @@
         }
     }
 
-    private static void writeFully(FileChannel channel, byte[] record, long at) throws IOException {
-        ByteBuffer rest = ByteBuffer.wrap(record);
-        while (rest.hasRemaining()) {
-            channel.write(rest, at + rest.position());
+    private static void writeFully(FileChannel channel, byte[] record, long offset) throws IOException {
+        ByteBuffer remaining = ByteBuffer.wrap(record);
+        while (remaining.hasRemaining()) {
+            channel.write(remaining, offset + remaining.position());
         }
     }
 
     /** Writes the unfinished messages to a new segment and replaces the current one with it. */
     private void compact() {
-        Path unfinished = folder.resolve(TEMPORARY_SEGMENT_NAME);
-        Path next = folder.resolve(SEGMENT_NAME_FORMAT.formatted(segmentNumber + 1));
+        Path temporaryPath = folder.resolve(TEMPORARY_SEGMENT_NAME);
+        Path nextPath = folder.resolve(SEGMENT_NAME_FORMAT.formatted(segmentNumber + 1));
         try {
-            FileChannel channel = FileChannel.open(unfinished, StandardOpenOption.CREATE,
+            FileChannel nextChannel = FileChannel.open(temporaryPath, StandardOpenOption.CREATE,
                     StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
-            long written = 0;
-            Map<Long, Long> sizes = new LinkedHashMap<>();
+            long writtenBytes = 0;
+            Map<Long, Long> sizesByNumber = new LinkedHashMap<>();
             try {
                 for (UnfinishedMessage entry : unfinishedMessages.values()) {
                     byte[] records = encodeRecords(entry.message);
-                    writeFully(channel, records, written);
-                    written += records.length;
-                    sizes.put(entry.message.number, (long) records.length);
+                    writeFully(nextChannel, records, writtenBytes);
+                    writtenBytes += records.length;
+                    sizesByNumber.put(entry.message.number, (long) records.length);
                 }
-                Files.move(unfinished, next, StandardCopyOption.ATOMIC_MOVE);
+                Files.move(temporaryPath, nextPath, StandardCopyOption.ATOMIC_MOVE);
             } catch (IOException e) {
-                channel.close();
-                Files.deleteIfExists(unfinished);
+                nextChannel.close();
+                Files.deleteIfExists(temporaryPath);
                 throw e;
             }
             segmentChannel.close();
-            segmentChannel = channel;
-            Path old = segmentPath;
-            segmentPath = next;
+            segmentChannel = nextChannel;
+            Path oldPath = segmentPath;
+            segmentPath = nextPath;
             segmentNumber++;
-            segmentBytes = written;
-            unfinishedBytes = written;
-            sizes.forEach((number, bytes) -> unfinishedMessages.get(number).sizeBytes = bytes);
-            Files.deleteIfExists(old);
+            segmentBytes = writtenBytes;
+            unfinishedBytes = writtenBytes;
+            sizesByNumber.forEach((number, bytes) -> unfinishedMessages.get(number).sizeBytes = bytes);
+            Files.deleteIfExists(oldPath);
         } catch (IOException e) {
             Log.write("journal: can't be rewritten: " + e.getMessage());
             nextCompactionAtNanos = System.nanoTime() + COMPACTION_RETRY_NANOS;
@@ -377,18 +379,18 @@
 
     /** All records of a message: accepted, attempts with their results, end. */
     private static byte[] encodeRecords(Message message) throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.write(encodeRecord(acceptedPayload(message)));
+        ByteArrayOutputStream records = new ByteArrayOutputStream();
+        records.write(encodeRecord(acceptedPayload(message)));
         for (Message.Attempt attempt : message.attempts) {
-            all.write(encodeRecord(attemptPayload(message, attempt)));
+            records.write(encodeRecord(attemptPayload(message, attempt)));
             if (attempt.result != null) {
-                all.write(encodeRecord(resultPayload(message, attempt)));
+                records.write(encodeRecord(resultPayload(message, attempt)));
             }
         }
         if (message.nonDelivery != null) {
-            all.write(encodeRecord(endPayload(message)));
+            records.write(encodeRecord(endPayload(message)));
         }
-        return all.toByteArray();
+        return records.toByteArray();
     }
 
     private static PayloadWriter acceptedPayload(Message message) {
@@ -456,42 +458,43 @@
 
     /** Replays the segment and truncates it at the first record that is incomplete, corrupt or can't be read. */
     private void replay() throws IOException {
-        ByteBuffer all = ByteBuffer.allocate(
+        ByteBuffer buffer = ByteBuffer.allocate(
                 (int) Math.min(segmentChannel.size(), Integer.MAX_VALUE - RECORD_HEADER_BYTES));
-        while (all.hasRemaining() && segmentChannel.read(all, all.position()) >= 0) {
+        while (buffer.hasRemaining() && segmentChannel.read(buffer, buffer.position()) >= 0) {
             continue;
         }
-        all.flip();
-        String damage = "a torn tail";
+        buffer.flip();
+        String damagedRecord = "a torn tail";
         try {
-            for (byte[] payload = readNextPayload(all); payload != null; payload = readNextPayload(all)) {
+            for (byte[] payload = readNextPayload(buffer); payload != null; payload = readNextPayload(buffer)) {
                 replay(payload);
-                segmentBytes = all.position();
+                segmentBytes = buffer.position();
             }
         } catch (IOException e) {
-            damage = "what follows a record that can't be read (" + e.getMessage() + ")";
+            damagedRecord = "what follows a record that can't be read (" + e.getMessage() + ")";
         }
         if (segmentBytes < segmentChannel.size()) {
-            Log.write("journal: " + damage + " is cut off, " + (segmentChannel.size() - segmentBytes) + " bytes");
+            Log.write("journal: " + damagedRecord + " is cut off, " + (segmentChannel.size() - segmentBytes)
+                    + " bytes");
             segmentChannel.truncate(segmentBytes);
         }
     }
 
     /** The payload of the next record; null at the end, and where the record is incomplete or its checksum wrong. */
-    private static byte[] readNextPayload(ByteBuffer all) {
-        if (all.remaining() < RECORD_HEADER_BYTES) {
+    private static byte[] readNextPayload(ByteBuffer buffer) {
+        if (buffer.remaining() < RECORD_HEADER_BYTES) {
             return null;
         }
-        int length = all.getInt();
-        int expected = all.getInt();
-        if (length <= 0 || length > all.remaining()) {
+        int length = buffer.getInt();
+        int expectedChecksum = buffer.getInt();
+        if (length <= 0 || length > buffer.remaining()) {
             return null;
         }
         byte[] payload = new byte[length];
-        all.get(payload);
+        buffer.get(payload);
         CRC32 crc = new CRC32();
         crc.update(payload);
-        return (int) crc.getValue() == expected ? payload : null;
+        return (int) crc.getValue() == expectedChecksum ? payload : null;
     }
 
     /** Applies one record. One of a message that is unknown or finished has no effect. */
@@ -554,33 +557,33 @@
         String callId = in.readUTF();
         String requestClass = in.readUTF();
         String tenant = readOptional(in);
-        String key = readOptional(in);
+        String idempotencyKey = readOptional(in);
         long deadline = in.readLong();
         int destination = in.readInt();
         byte[] body = new byte[in.readInt()];
         in.readFully(body);
-        return new Message.Content(callId, requestClass, tenant, key, deadline, destination, body);
+        return new Message.Content(callId, requestClass, tenant, idempotencyKey, deadline, destination, body);
     }
 
     /** The two enums are stored by position. */
     private static void writeTerms(DataOutputStream out, Policy.RequestTerms terms) throws IOException {
-        Policy.RequestClass type = terms.requestClass();
-        out.writeByte(type.idempotency().ordinal());
-        out.writeByte(type.keyScope().ordinal());
-        out.writeLong(type.dedupWindowMicros());
-        out.writeLong(type.goalMicros());
-        out.writeLong(type.timeLimitMicros());
-        out.writeDouble(type.value());
-        out.writeDouble(type.lateValueShare());
-        out.writeBoolean(type.orderedByKey());
+        Policy.RequestClass requestClass = terms.requestClass();
+        out.writeByte(requestClass.idempotency().ordinal());
+        out.writeByte(requestClass.keyScope().ordinal());
+        out.writeLong(requestClass.dedupWindowMicros());
+        out.writeLong(requestClass.goalMicros());
+        out.writeLong(requestClass.timeLimitMicros());
+        out.writeDouble(requestClass.value());
+        out.writeDouble(requestClass.lateValueShare());
+        out.writeBoolean(requestClass.orderedByKey());
         out.writeInt(terms.maxAttempts());
     }
 
     private static Policy.RequestTerms readTerms(DataInputStream in, String name) throws IOException {
-        Policy.RequestClass type = new Policy.RequestClass(name, Policy.Idempotency.values()[in.readByte()],
+        Policy.RequestClass requestClass = new Policy.RequestClass(name, Policy.Idempotency.values()[in.readByte()],
                 Policy.KeyScope.values()[in.readByte()], in.readLong(), in.readLong(), in.readLong(),
                 in.readDouble(), in.readDouble(), in.readBoolean());
-        return new Policy.RequestTerms(type, in.readInt());
+        return new Policy.RequestTerms(requestClass, in.readInt());
     }
 
     /** Writes a text that may be null: whether there is one, then the text. */
--- a/src/main/java/drumdeal/relay/PredecessorLink.java
+++ b/src/main/java/drumdeal/relay/PredecessorLink.java
@@ -28,7 +28,7 @@
     /** What the relay does with the state and the messages of an older process. */
     interface TakeoverHandler {
         /** Applies the state of the older process, which takes no more decisions. */
-        void applySnapshot(HandoverSnapshot standing);
+        void applySnapshot(HandoverSnapshot snapshot);
 
         /** Writes a message to the journal; its delivery must wait for {@link #takeOwnership}. */
         Message storeMessage(byte[] records) throws IOException;
@@ -37,14 +37,15 @@
         void takeOwnership(Message message);
 
         /**
-         * A call of the older process has ended. {@code wait} is the wait that the host asked for, 0 where none, and
-         * {@code elapsed} the time that the call took, both in microseconds; {@code callsOut} is the number of calls
-         * that the older process still has in flight.
+         * A call of the older process has ended. {@code waitMicros} is the wait that the host asked for, 0 where none,
+         * {@code elapsedMicros} the time that the call took, and {@code callsInFlight} the number of calls that the
+         * older process still has in flight.
          */
-        void onPredecessorOutcome(String route, Policy.Result result, long wait, long elapsed, int callsOut);
+        void onPredecessorOutcome(String route, Policy.Result result, long waitMicros, long elapsedMicros,
+                int callsInFlight);
 
         /** The older process has ended: takes over the messages left in its folder, which this process has locked. */
-        void adoptFolder(StateFolder.LockedFolder part) throws IOException;
+        void adoptFolder(StateFolder.LockedFolder folder) throws IOException;
     }
 
     private final EventLoop loop;
@@ -59,27 +60,28 @@
     private boolean readyReported;
 
     /**
-     * Prepares to take over from the process that owns folder {@code part}. {@code next} is called once, as soon as
-     * this process may listen for clients, with the snapshot of the older one, or with null where there is none.
-     * {@code gone} runs once the older process has ended and its messages are adopted.
+     * Prepares to take over from the process that owns {@code predecessorFolder}. {@code onReady} is called once, as
+     * soon as this process may listen for clients, with the snapshot of the older one, or with null where there is
+     * none. {@code onPredecessorEnded} runs once the older process has ended and its messages are adopted.
      */
-    PredecessorLink(EventLoop loop, Path part, TakeoverHandler heir, Consumer<HandoverSnapshot> next, Runnable gone) {
+    PredecessorLink(EventLoop loop, Path predecessorFolder, TakeoverHandler handler,
+            Consumer<HandoverSnapshot> onReady, Runnable onPredecessorEnded) {
         this.loop = loop;
-        this.predecessorFolder = part;
-        this.handler = heir;
-        this.onReady = next;
-        this.onPredecessorEnded = gone;
+        this.predecessorFolder = predecessorFolder;
+        this.handler = handler;
+        this.onReady = onReady;
+        this.onPredecessorEnded = onPredecessorEnded;
     }
 
     /** Connects to the older process and asks to take over. */
     void takeOver() {
-        ChannelFuture opening;
+        ChannelFuture connecting;
         try {
-            opening = new Bootstrap().group(loop).channel(NioDomainSocketChannel.class)
+            connecting = new Bootstrap().group(loop).channel(NioDomainSocketChannel.class)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
-                        protected void initChannel(Channel ch) {
-                            Handover.attachFrameHandler(ch, PredecessorLink.this::onFrame);
+                        protected void initChannel(Channel connection) {
+                            Handover.attachFrameHandler(connection, PredecessorLink.this::onFrame);
                         }
                     }).connect(Handover.socketAddress(predecessorFolder));
         } catch (IllegalArgumentException | UnsupportedOperationException e) {
@@ -87,15 +89,15 @@
             onChannelClosed();
             return;
         }
-        channel = opening.channel();
-        opening.addListener(connected -> {
+        channel = connecting.channel();
+        connecting.addListener(connected -> {
             if (connected.isSuccess()) {
                 Handover.send(channel, Handover.FrameType.TAKEOVER_REQUEST, out -> out.writeInt(Handover.VERSION));
             } else {
                 Log.write("no handover: " + connected.cause());
             }
         });
-        channel.closeFuture().addListener(ended -> onChannelClosed());
+        channel.closeFuture().addListener(closed -> onChannelClosed());
         loop.schedule(() -> {
             if (!readyReported) {
                 channel.close();
@@ -110,12 +112,12 @@
         }
     }
 
-    private void onFrame(Handover.FrameType word, DataInputStream in) throws IOException {
-        switch (word) {
+    private void onFrame(Handover.FrameType type, DataInputStream in) throws IOException {
+        switch (type) {
             case SNAPSHOT -> {
-                HandoverSnapshot standing = HandoverSnapshot.read(in);
-                handler.applySnapshot(standing);
-                reportReady(standing);
+                HandoverSnapshot snapshot = HandoverSnapshot.read(in);
+                handler.applySnapshot(snapshot);
+                reportReady(snapshot);
             }
             case MESSAGE -> {
                 long number = in.readLong();
@@ -130,14 +132,14 @@
             }
             case OUTCOME -> handler.onPredecessorOutcome(in.readUTF(), Policy.Result.valueOf(in.readUTF()),
                     in.readLong(), in.readLong(), in.readInt());
-            default -> throw new IOException("unexpected " + word);
+            default -> throw new IOException("unexpected " + type);
         }
     }
 
-    private void reportReady(HandoverSnapshot standing) {
+    private void reportReady(HandoverSnapshot snapshot) {
         if (!readyReported) {
             readyReported = true;
-            onReady.accept(standing);
+            onReady.accept(snapshot);
         }
     }
 
@@ -151,11 +153,11 @@
      * still send a message that it has not released, and two processes would deliver the same message.
      */
     private void adoptOnceUnlocked() {
-        try (StateFolder.LockedFolder left = StateFolder.tryLock(predecessorFolder)) {
-            if (left != null) {
+        try (StateFolder.LockedFolder folder = StateFolder.tryLock(predecessorFolder)) {
+            if (folder != null) {
                 unreleasedMessages.values().forEach(handler::takeOwnership);
                 unreleasedMessages.clear();
-                handler.adoptFolder(left);
+                handler.adoptFolder(folder);
                 onPredecessorEnded.run();
                 return;
             }
--- a/src/main/java/drumdeal/relay/RouteStateFile.java
+++ b/src/main/java/drumdeal/relay/RouteStateFile.java
@@ -32,17 +32,17 @@
      * Replaces the file and returns the bytes of disk to reserve for it and its next replacement; 0 where the state is
      * too large to be written. A failure has no other effect than that the next process may start without the state.
      */
-    static long write(Path folder, byte[] memory, long now, long disk) {
-        if (HEADER_BYTES + memory.length > disk / MAX_DISK_SHARE_DIVISOR) {
-            Log.write("health: there is no room for " + memory.length + " bytes");
+    static long write(Path folder, byte[] state, long nowMicros, long diskLimitBytes) {
+        if (HEADER_BYTES + state.length > diskLimitBytes / MAX_DISK_SHARE_DIVISOR) {
+            Log.write("health: there is no room for " + state.length + " bytes");
             return 0;
         }
-        byte[] file = ByteBuffer.allocate(HEADER_BYTES + memory.length).putInt(VERSION).putLong(now)
-                .putInt(checksum(memory, now)).put(memory).array();
-        Path unfinished = folder.resolve(FILE_NAME + ".new");
+        byte[] file = ByteBuffer.allocate(HEADER_BYTES + state.length).putInt(VERSION).putLong(nowMicros)
+                .putInt(checksum(state, nowMicros)).put(state).array();
+        Path temporary = folder.resolve(FILE_NAME + ".new");
         try {
-            Files.write(unfinished, file);
-            Files.move(unfinished, folder.resolve(FILE_NAME), StandardCopyOption.ATOMIC_MOVE);
+            Files.write(temporary, file);
+            Files.move(temporary, folder.resolve(FILE_NAME), StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
             Log.write("health: can't be written: " + e.getMessage());
         }
@@ -50,13 +50,13 @@
     }
 
     /** Returns the state that the last process wrote. Where it can't be used, logs the reason and returns null. */
-    static byte[] read(Path folder, long now, long disk) {
+    static byte[] read(Path folder, long nowMicros, long diskLimitBytes) {
         try {
             Path path = folder.resolve(FILE_NAME);
             if (!Files.exists(path)) {
                 return reportUnusable("there is no file");
             }
-            if (Files.size(path) > disk / MAX_DISK_SHARE_DIVISOR) {
+            if (Files.size(path) > diskLimitBytes / MAX_DISK_SHARE_DIVISOR) {
                 return reportUnusable("the file is too large");
             }
             ByteBuffer file = ByteBuffer.wrap(Files.readAllBytes(path));
@@ -64,36 +64,36 @@
                 return reportUnusable("the file is cut short");
             }
             int version = file.getInt();
-            long writtenAt = file.getLong();
-            int sum = file.getInt();
-            byte[] memory = new byte[file.remaining()];
-            file.get(memory);
+            long writtenAtMicros = file.getLong();
+            int storedChecksum = file.getInt();
+            byte[] state = new byte[file.remaining()];
+            file.get(state);
             if (version != VERSION) {
                 return reportUnusable("the file is of version " + version);
             }
-            if (sum != checksum(memory, writtenAt)) {
+            if (storedChecksum != checksum(state, writtenAtMicros)) {
                 return reportUnusable("the file is not whole");
             }
-            long age = now - writtenAt;
-            if (age > MAX_AGE_MICROS || age < 0) {
-                return reportUnusable("the file is " + age / 1000 + " ms old");
+            long ageMicros = nowMicros - writtenAtMicros;
+            if (ageMicros > MAX_AGE_MICROS || ageMicros < 0) {
+                return reportUnusable("the file is " + ageMicros / 1000 + " ms old");
             }
-            Log.write("health: as it was " + age / 1000 + " ms ago");
-            return memory;
+            Log.write("health: as it was " + ageMicros / 1000 + " ms ago");
+            return state;
         } catch (IOException e) {
             return reportUnusable(e.toString());
         }
     }
 
-    private static byte[] reportUnusable(String why) {
-        Log.write("health: nothing from before: " + why);
+    private static byte[] reportUnusable(String reason) {
+        Log.write("health: nothing from before: " + reason);
         return null;
     }
 
-    private static int checksum(byte[] memory, long writtenAt) {
+    private static int checksum(byte[] state, long writtenAtMicros) {
         CRC32 crc = new CRC32();
-        crc.update(ByteBuffer.allocate(Long.BYTES).putLong(writtenAt).array());
-        crc.update(memory);
+        crc.update(ByteBuffer.allocate(Long.BYTES).putLong(writtenAtMicros).array());
+        crc.update(state);
         return (int) crc.getValue();
     }
 }
--- a/src/main/java/drumdeal/relay/StateFolder.java
+++ b/src/main/java/drumdeal/relay/StateFolder.java
@@ -33,14 +33,14 @@
     /** Locks the first process folder that no other process owns. */
     StateFolder(Path root) throws IOException {
         this.root = root;
-        LockedFolder free = null;
-        for (int i = 0; i < MAX_PROCESS_FOLDERS && free == null; i++) {
-            free = tryLock(processFolder(i));
+        LockedFolder locked = null;
+        for (int i = 0; i < MAX_PROCESS_FOLDERS && locked == null; i++) {
+            locked = tryLock(processFolder(i));
         }
-        if (free == null) {
+        if (locked == null) {
             throw new IOException("every part of " + root + " is in use");
         }
-        ownFolder = free;
+        ownFolder = locked;
     }
 
     /** The process folder of a number from 0 to {@link #MAX_PROCESS_FOLDERS} - 1; 0 is the root. */
--- a/src/main/java/drumdeal/relay/Stats.java
+++ b/src/main/java/drumdeal/relay/Stats.java
@@ -25,24 +25,24 @@
     private long reloadErrors;
 
     /** Adds an entry for each class; it stays after the settings drop the class. */
-    void registerClasses(Collection<String> names) {
-        names.forEach(this::totalsFor);
+    void registerClasses(Collection<String> classNames) {
+        classNames.forEach(this::totalsFor);
     }
 
-    private ClassTotals totalsFor(String name) {
-        return totalsByClass.computeIfAbsent(name, n -> new ClassTotals());
+    private ClassTotals totalsFor(String className) {
+        return totalsByClass.computeIfAbsent(className, n -> new ClassTotals());
     }
 
-    void countCompleted(String name) {
-        totalsFor(name).completed++;
+    void countCompleted(String className) {
+        totalsFor(className).completed++;
     }
 
-    void countRejected(String name) {
-        totalsFor(name).rejected++;
+    void countRejected(String className) {
+        totalsFor(className).rejected++;
     }
 
-    void countFailed(String name) {
-        totalsFor(name).failed++;
+    void countFailed(String className) {
+        totalsFor(className).failed++;
     }
 
     /** Counts messages that have been written completely to an endpoint. */
@@ -64,24 +64,24 @@
      */
     String toJson(int pending, int members, int unavailable) {
         StringWriter text = new StringWriter();
-        try (JsonGenerator out = jsonFactory.createGenerator(text)) {
-            out.writeStartObject();
-            out.writeObjectFieldStart("downstream_requests");
+        try (JsonGenerator json = jsonFactory.createGenerator(text)) {
+            json.writeStartObject();
+            json.writeObjectFieldStart("downstream_requests");
             for (Map.Entry<String, ClassTotals> entry : totalsByClass.entrySet()) {
-                out.writeObjectFieldStart(entry.getKey());
-                out.writeNumberField("completed", entry.getValue().completed);
-                out.writeNumberField("rejected", entry.getValue().rejected);
-                out.writeNumberField("failed", entry.getValue().failed);
-                out.writeEndObject();
+                json.writeObjectFieldStart(entry.getKey());
+                json.writeNumberField("completed", entry.getValue().completed);
+                json.writeNumberField("rejected", entry.getValue().rejected);
+                json.writeNumberField("failed", entry.getValue().failed);
+                json.writeEndObject();
             }
-            out.writeEndObject();
-            out.writeNumberField("upstream_requests", writtenMessages);
-            out.writeNumberField("pending", pending);
-            out.writeNumberField("members", members);
-            out.writeNumberField("members_unavailable", unavailable);
-            out.writeNumberField("config_reloads", reloads);
-            out.writeNumberField("config_reload_errors", reloadErrors);
-            out.writeEndObject();
+            json.writeEndObject();
+            json.writeNumberField("upstream_requests", writtenMessages);
+            json.writeNumberField("pending", pending);
+            json.writeNumberField("members", members);
+            json.writeNumberField("members_unavailable", unavailable);
+            json.writeNumberField("config_reloads", reloads);
+            json.writeNumberField("config_reload_errors", reloadErrors);
+            json.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/main/java/drumdeal/relay/SuccessorLink.java
+++ b/src/main/java/drumdeal/relay/SuccessorLink.java
@@ -61,23 +61,23 @@
     /** The successor listens for clients; the handover can't be undone any more. */
     private boolean committed;
 
-    SuccessorLink(EventLoop loop, HandoverHandler elder) {
+    SuccessorLink(EventLoop loop, HandoverHandler handler) {
         this.loop = loop;
-        this.handler = elder;
+        this.handler = handler;
     }
 
     /** Listens on the socket in this process's own folder. Where that fails, an upgrade only takes longer. */
-    void listen(Path part) {
+    void listen(Path ownFolder) {
         try {
             // A process that was killed leaves its socket file behind, and binding to it would fail.
-            Files.deleteIfExists(Handover.socketPath(part));
+            Files.deleteIfExists(Handover.socketPath(ownFolder));
             new ServerBootstrap().group(loop).channel(NioServerDomainSocketChannel.class)
                     .handler(new AcceptErrorHandler()).childHandler(new ChannelInitializer<Channel>() {
                         @Override
-                        protected void initChannel(Channel ch) {
-                            Handover.attachFrameHandler(ch, (word, in) -> onFrame(ch, word, in));
+                        protected void initChannel(Channel connection) {
+                            Handover.attachFrameHandler(connection, (type, in) -> onFrame(connection, type, in));
                         }
-                    }).bind(Handover.socketAddress(part)).addListener(bound -> {
+                    }).bind(Handover.socketAddress(ownFolder)).addListener(bound -> {
                         if (!bound.isSuccess()) {
                             Log.write("no handover: " + bound.cause());
                         }
@@ -87,14 +87,14 @@
         }
     }
 
-    private void onFrame(Channel channel, Handover.FrameType word, DataInputStream in) throws IOException {
-        if (word == Handover.FrameType.TAKEOVER_REQUEST && successorChannel == null
+    private void onFrame(Channel channel, Handover.FrameType type, DataInputStream in) throws IOException {
+        if (type == Handover.FrameType.TAKEOVER_REQUEST && successorChannel == null
                 && in.readInt() == Handover.VERSION) {
             onTakeoverRequest(channel);
-        } else if (word == Handover.FrameType.LISTENING && channel == successorChannel && !committed) {
+        } else if (type == Handover.FrameType.LISTENING && channel == successorChannel && !committed) {
             committed = true;
             handler.handOver();
-        } else if (word == Handover.FrameType.MESSAGE_STORED && channel == successorChannel) {
+        } else if (type == Handover.FrameType.MESSAGE_STORED && channel == successorChannel) {
             onMessageStored(in.readLong());
         } else {
             channel.close();
@@ -103,8 +103,8 @@
 
     private void onTakeoverRequest(Channel channel) {
         successorChannel = channel;
-        HandoverSnapshot standing = handler.suspendDecisions();
-        Handover.send(channel, Handover.FrameType.SNAPSHOT, standing::write);
+        HandoverSnapshot snapshot = handler.suspendDecisions();
+        Handover.send(channel, Handover.FrameType.SNAPSHOT, snapshot::write);
         channel.closeFuture().addListener(closed -> onSuccessorClosed());
         loop.schedule(() -> {
             if (!committed) {
@@ -137,11 +137,11 @@
     }
 
     private void offerQueuedMessages() {
-        Iterator<Message> next = queuedMessages.values().iterator();
-        while (successorChannel.isActive() && next.hasNext()
+        Iterator<Message> queued = queuedMessages.values().iterator();
+        while (successorChannel.isActive() && queued.hasNext()
                 && unacknowledgedMessages.size() < MAX_UNACKNOWLEDGED_MESSAGES) {
-            Message message = next.next();
-            next.remove();
+            Message message = queued.next();
+            queued.remove();
             // A message whose time ran out while it was queued has ended here and must not be handed over.
             if (message.nonDelivery == null && !message.finished) {
                 unacknowledgedMessages.put(message.number, message);
@@ -164,17 +164,17 @@
     }
 
     /**
-     * Reports the result of a call that was in flight when the successor took over. {@code wait} is the wait that the
-     * host asked for, 0 where none, and {@code elapsed} the time that the call took, both in microseconds;
-     * {@code callsOut} is the number of calls still in flight here.
+     * Reports the result of a call that was in flight when the successor took over. {@code waitMicros} is the wait that
+     * the host asked for, 0 where none, {@code elapsedMicros} the time that the call took, and {@code callsInFlight}
+     * the number of calls still in flight here.
      */
-    void sendOutcome(String route, Policy.Result result, long wait, long elapsed, int callsOut) {
+    void sendOutcome(String route, Policy.Result result, long waitMicros, long elapsedMicros, int callsInFlight) {
         Handover.send(successorChannel, Handover.FrameType.OUTCOME, out -> {
             out.writeUTF(route);
             out.writeUTF(result.name());
-            out.writeLong(wait);
-            out.writeLong(elapsed);
-            out.writeInt(callsOut);
+            out.writeLong(waitMicros);
+            out.writeLong(elapsedMicros);
+            out.writeInt(callsInFlight);
         });
     }
 }
