--- a/src/main/java/drumdeal/relay/Handover.java
+++ b/src/main/java/drumdeal/relay/Handover.java
@@ -85,14 +85,14 @@
                         DataInputStream in = new DataInputStream(new ByteArrayInputStream(ByteBufUtil.getBytes(frame)));
                         int typeIndex = in.readByte();
                         if (typeIndex < 0 || typeIndex >= FrameType.values().length) {
-                            throw new IOException("unknown word " + typeIndex);
+                            throw new IOException("unknown frame type " + typeIndex);
                         }
                         handler.onFrame(FrameType.values()[typeIndex], in);
                     }
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        Log.write("handover: " + cause);
+                        Log.write("handover: closing the connection to the other process: " + cause);
                         ctx.close();
                     }
                 });
--- a/src/main/java/drumdeal/relay/Journal.java
+++ b/src/main/java/drumdeal/relay/Journal.java
@@ -152,7 +152,7 @@
             replayed.replay(payload);
         }
         if (buffer.hasRemaining() || replayed.unfinishedMessages.size() != 1) {
-            throw new IOException("these are not the records of a message");
+            throw new IOException("the bytes are not the journal records of one message");
         }
         return replayed.unfinishedMessages().get(0);
     }
@@ -317,7 +317,7 @@
             segmentBytes += record.length;
             return true;
         } catch (IOException e) {
-            Log.write("journal: can't write: " + e.getMessage());
+            Log.write("journal: can't append a record, it is not stored: " + e.getMessage());
             truncatePartialRecord();
             return false;
         }
@@ -328,7 +328,8 @@
         try {
             segmentChannel.truncate(segmentBytes);
         } catch (IOException e) {
-            Log.write("journal: can't be mended, nothing more is taken on: " + e.getMessage());
+            Log.write("journal: can't remove a partial record, no more records are written and no messages accepted: "
+                    + e.getMessage());
             broken = true;
         }
     }
@@ -372,7 +373,7 @@
             sizesByNumber.forEach((number, bytes) -> unfinishedMessages.get(number).sizeBytes = bytes);
             Files.deleteIfExists(oldPath);
         } catch (IOException e) {
-            Log.write("journal: can't be rewritten: " + e.getMessage());
+            Log.write("journal: compaction failed, to be tried again later: " + e.getMessage());
             nextCompactionAtNanos = System.nanoTime() + COMPACTION_RETRY_NANOS;
         }
     }
@@ -464,17 +465,17 @@
             continue;
         }
         buffer.flip();
-        String damagedRecord = "a torn tail";
+        String damagedRecord = "an incomplete or corrupt record";
         try {
             for (byte[] payload = readNextPayload(buffer); payload != null; payload = readNextPayload(buffer)) {
                 replay(payload);
                 segmentBytes = buffer.position();
             }
         } catch (IOException e) {
-            damagedRecord = "what follows a record that can't be read (" + e.getMessage() + ")";
+            damagedRecord = "a record that can't be read (" + e.getMessage() + ")";
         }
         if (segmentBytes < segmentChannel.size()) {
-            Log.write("journal: " + damagedRecord + " is cut off, " + (segmentChannel.size() - segmentBytes)
+            Log.write("journal: truncating at " + damagedRecord + ", dropping " + (segmentChannel.size() - segmentBytes)
                     + " bytes");
             segmentChannel.truncate(segmentBytes);
         }
@@ -522,7 +523,7 @@
                 case RESULT -> replayResult(message, in.readInt(), Policy.Result.valueOf(in.readUTF()));
                 case END_DECIDED -> message.nonDelivery = new Message.NonDelivery(in.readBoolean(), in.readLong());
                 case DONE -> removeUnfinishedMessage(number);
-                default -> throw new IOException("unknown record " + type);
+                default -> throw new IOException("unknown record type " + type);
             }
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             throw new IOException(e);
--- a/src/main/java/drumdeal/relay/PredecessorLink.java
+++ b/src/main/java/drumdeal/relay/PredecessorLink.java
@@ -85,7 +85,7 @@
                         }
                     }).connect(Handover.socketAddress(predecessorFolder));
         } catch (IllegalArgumentException | UnsupportedOperationException e) {
-            Log.write("no handover: " + e);
+            Log.write("handover: can't connect to the older process, starting without its snapshot: " + e);
             onChannelClosed();
             return;
         }
@@ -94,7 +94,8 @@
             if (connected.isSuccess()) {
                 Handover.send(channel, Handover.FrameType.TAKEOVER_REQUEST, out -> out.writeInt(Handover.VERSION));
             } else {
-                Log.write("no handover: " + connected.cause());
+                Log.write("handover: can't connect to the older process, starting without its snapshot: "
+                        + connected.cause());
             }
         });
         channel.closeFuture().addListener(closed -> onChannelClosed());
@@ -132,7 +133,7 @@
             }
             case OUTCOME -> handler.onPredecessorOutcome(in.readUTF(), Policy.Result.valueOf(in.readUTF()),
                     in.readLong(), in.readLong(), in.readInt());
-            default -> throw new IOException("unexpected " + type);
+            default -> throw new IOException("unexpected frame " + type);
         }
     }
 
@@ -162,8 +163,8 @@
                 return;
             }
         } catch (IOException e) {
-            Log.write("handover: what is left in " + predecessorFolder.getFileName() + " can't be adopted: "
-                    + e.getMessage());
+            Log.write("handover: can't adopt the messages in folder " + predecessorFolder.getFileName()
+                    + ", trying again: " + e.getMessage());
         }
         loop.schedule(this::adoptOnceUnlocked, LOCK_POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/drumdeal/relay/RouteStateFile.java
+++ b/src/main/java/drumdeal/relay/RouteStateFile.java
@@ -34,7 +34,8 @@
      */
     static long write(Path folder, byte[] state, long nowMicros, long diskLimitBytes) {
         if (HEADER_BYTES + state.length > diskLimitBytes / MAX_DISK_SHARE_DIVISOR) {
-            Log.write("health: there is no room for " + state.length + " bytes");
+            Log.write("health: route state not written, its share of the disk is too small for " + state.length
+                    + " bytes");
             return 0;
         }
         byte[] file = ByteBuffer.allocate(HEADER_BYTES + state.length).putInt(VERSION).putLong(nowMicros)
@@ -44,7 +45,7 @@
             Files.write(temporary, file);
             Files.move(temporary, folder.resolve(FILE_NAME), StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            Log.write("health: can't be written: " + e.getMessage());
+            Log.write("health: can't write the route state: " + e.getMessage());
         }
         return 2L * (file.length + BLOCK_BYTES);
     }
@@ -61,7 +62,7 @@
             }
             ByteBuffer file = ByteBuffer.wrap(Files.readAllBytes(path));
             if (file.remaining() < HEADER_BYTES) {
-                return reportUnusable("the file is cut short");
+                return reportUnusable("the file is shorter than its header");
             }
             int version = file.getInt();
             long writtenAtMicros = file.getLong();
@@ -69,10 +70,10 @@
             byte[] state = new byte[file.remaining()];
             file.get(state);
             if (version != VERSION) {
-                return reportUnusable("the file is of version " + version);
+                return reportUnusable("the file has unknown version " + version);
             }
             if (storedChecksum != checksum(state, writtenAtMicros)) {
-                return reportUnusable("the file is not whole");
+                return reportUnusable("the checksum of the file is wrong");
             }
             long ageMicros = nowMicros - writtenAtMicros;
             if (ageMicros > MAX_AGE_MICROS || ageMicros < 0) {
@@ -86,7 +87,7 @@
     }
 
     private static byte[] reportUnusable(String reason) {
-        Log.write("health: nothing from before: " + reason);
+        Log.write("health: starting without stored route state: " + reason);
         return null;
     }
 
--- a/src/main/java/drumdeal/relay/StateFolder.java
+++ b/src/main/java/drumdeal/relay/StateFolder.java
@@ -38,7 +38,7 @@
             locked = tryLock(processFolder(i));
         }
         if (locked == null) {
-            throw new IOException("every part of " + root + " is in use");
+            throw new IOException("every process folder of " + root + " is locked by another process");
         }
         ownFolder = locked;
     }
--- a/src/main/java/drumdeal/relay/SuccessorLink.java
+++ b/src/main/java/drumdeal/relay/SuccessorLink.java
@@ -79,11 +79,11 @@
                         }
                     }).bind(Handover.socketAddress(ownFolder)).addListener(bound -> {
                         if (!bound.isSuccess()) {
-                            Log.write("no handover: " + bound.cause());
+                            Log.write("handover: can't listen, an upgrade will take longer: " + bound.cause());
                         }
                     });
         } catch (IOException | IllegalArgumentException | UnsupportedOperationException e) {
-            Log.write("no handover: " + e);
+            Log.write("handover: can't listen, an upgrade will take longer: " + e);
         }
     }
 
