--- a/src/main/java/drumdeal/relay/AdminServer.java
+++ b/src/main/java/drumdeal/relay/AdminServer.java
@@ -33,7 +33,7 @@
 /**
  * HTTP server for operators, at an address of its own. It answers one request on each connection:
  * {@code GET /healthcheck} with 200 or 503, {@code GET /stats} with figures as JSON, and {@code POST /healthcheck/fail}
- * and {@code /healthcheck/ok}, which stop and resume service to clients. Used on the event loop alone.
+ * and {@code /healthcheck/ok}, which stop and resume service to clients. All requests are handled on one event loop.
  */
 final class AdminServer {
     /** Most connections at a time; {@link Config} keeps as many descriptors for them. */
--- a/src/main/java/drumdeal/relay/ConfigReloader.java
+++ b/src/main/java/drumdeal/relay/ConfigReloader.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Starts handling SIGHUP. A configuration that is rejected in any part is rejected as a whole, and
-     * {@code initialConfig} or its latest replacement stays in force.
+     * Starts handling SIGHUP. A configuration is accepted or rejected as a whole; where it is rejected, the current one
+     * stays in force, at first {@code initialConfig}.
      */
     static void reloadOnHangUp(Map<String, String> environment, Config initialConfig, Listener listener) {
         ConfigReloader reloader = new ConfigReloader(environment, initialConfig, listener);
--- a/src/main/java/drumdeal/relay/Handover.java
+++ b/src/main/java/drumdeal/relay/Handover.java
@@ -31,25 +31,24 @@
     private static final int MAX_FRAME_BYTES = 16 << 20;
 
     /**
-     * Type of a frame; each constant's comment names the payload after the colon. Types are sent by position: constants
-     * must not be reordered or removed.
+     * Type of a frame. Types are sent by position: constants must not be reordered or removed.
      */
     enum FrameType {
-        /** The newer process asks to take over: its protocol version (int). */
+        /** The newer process asks to take over. Payload: its protocol version (int). */
         TAKEOVER_REQUEST,
-        /** The older process has suspended its decisions: its {@link HandoverSnapshot}. */
+        /** The older process has suspended its decisions. Payload: its {@link HandoverSnapshot}. */
         SNAPSHOT,
-        /** The newer process listens for clients: nothing. */
+        /** The newer process listens for clients. No payload. */
         LISTENING,
-        /** The older process hands over a message: its number there (long), its journal records. */
+        /** The older process hands over a message. Payload: its number there (long), its journal records. */
         MESSAGE,
-        /** The newer process has written the message to its journal: the number in the older process (long). */
+        /** The newer process has written a message to its journal. Payload: the message's number (long) as sent. */
         MESSAGE_STORED,
-        /** The older process no longer holds the message: the number in the older process (long). */
+        /** The older process no longer holds a message. Payload: the message's number (long) as sent. */
         MESSAGE_RELEASED,
         /**
-         * A call of the older process has ended: route and result (texts), the wait that the host asked for and the
-         * time taken (longs, microseconds), the older process's calls still in flight (int).
+         * A call of the older process has ended. Payload: route and result (texts), the wait that the host asked for
+         * and the time taken (longs, microseconds), the older process's calls still in flight (int).
          */
         OUTCOME
     }
--- a/src/main/java/drumdeal/relay/Journal.java
+++ b/src/main/java/drumdeal/relay/Journal.java
@@ -28,7 +28,7 @@
  *
  * <p>A record is its payload's length (int), the payload's CRC-32 (int) and the payload, which begins with the record
  * type (byte) and the message number (long). Record types and the order of the fields are stored data and must not
- * change. Not thread-safe: used on the event loop alone.
+ * change. Not thread-safe.
  */
 final class Journal implements AutoCloseable {
     // Shares of the disk budget. During compaction the old and the new segment exist side by side and take at most
@@ -498,7 +498,10 @@
         return (int) crc.getValue() == expectedChecksum ? payload : null;
     }
 
-    /** Applies one record. One of a message that is unknown or finished has no effect. */
+    /**
+     * Applies one record. An accepted message is added to the unfinished ones; any other record is ignored where its
+     * message is not among them.
+     */
     private void replay(byte[] payload) throws IOException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(payload))) {
             int type = in.readByte();
