--- a/src/main/java/drumdeal/relay/Config.java
+++ b/src/main/java/drumdeal/relay/Config.java
@@ -19,23 +19,39 @@
 import java.util.Set;
 
 /**
- * Everything that a relay is told at its start. Spans are in microseconds; {@code knownVersion} is -1 and
- * {@code known} empty where no earlier list is known; {@code admin} is null where operators have no address.
- * {@code source} is the file as it was read.
+ * Configuration of a relay, read from a JSON file and the environment at the start and at each reload.
+ *
+ * @param listenAddress where clients connect
+ * @param adminAddress where operators connect; null where they have no address
+ * @param discoveryAddress where the discovery agent listens
+ * @param stateFolder root of the files that survive the process
+ * @param socketLimit file descriptors that the process may use
+ * @param diskBytes disk that the files in the state folder may take
+ * @param settings settings of the decision module
+ * @param roundDelayMicros time from an event to the round of decisions that handles it
+ * @param connectionIdleTimeoutMicros time after which a host closes an idle connection; the relay closes it earlier
+ * @param usesLoadReports whether hosts report their load; probes then ask for the report
+ * @param knownListVersion version of the host list known from before; -1 where none is known
+ * @param knownTargets hosts of the list known from before; empty where none is known
+ * @param source the file as it was read
  */
-record Config(InetSocketAddress listenAddress, InetSocketAddress adminAddress, InetSocketAddress discoveryAddress, Path stateFolder,
-        int socketLimit, long diskBytes,
-        Policy.Settings settings, long roundDelayMicros, long connectionIdleTimeoutMicros, boolean usesLoadReports, long knownListVersion,
-        List<Target> knownTargets, Map<?, ?> source) {
+record Config(InetSocketAddress listenAddress, InetSocketAddress adminAddress, InetSocketAddress discoveryAddress,
+        Path stateFolder, int socketLimit, long diskBytes, Policy.Settings settings, long roundDelayMicros,
+        long connectionIdleTimeoutMicros, boolean usesLoadReports, long knownListVersion, List<Target> knownTargets,
+        Map<?, ?> source) {
 
     private static final long BYTES_PER_MIB = 1 << 20;
-    /** Descriptors for all but connections: the JVM's, journal's, discovery's, operators', one just accepted. */
+    /**
+     * Descriptors kept for everything but connections to clients and hosts: the JVM, the journal, discovery, operators'
+     * connections and one connection that has just been accepted.
+     */
     private static final int RESERVED_DESCRIPTORS = 36 + AdminServer.MAX_CONNECTIONS;
+    /** Share of the remaining descriptors that clients' connections may take; hosts' connections take the rest. */
     private static final double CLIENT_CONNECTION_SHARE = 0.55;
-    /** What a later file need not have. */
+    /** Paths that a reloaded file may lack although the current one has them. */
     private static final Set<String> OPTIONAL_PATHS = Set.of("/known", "/admin_addr");
 
-    /** A setting that is missing or makes no sense; the message is for staff. */
+    /** The configuration can't be read, or a setting is missing or invalid; the message is for operators. */
     static final class BadConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -44,16 +60,19 @@
         }
     }
 
-    /** Reads the configuration that the environment names. */
+    /**
+     * Reads the configuration: {@code EDGE_CONFIG} names the file, {@code EDGE_STATE} the state folder, and
+     * {@code EDGE_ADMIN_ADDR}, which may be absent, replaces the file's address for operators.
+     */
     static Config read(Map<String, String> environment) throws BadConfigException {
         Path file = Path.of(requireVariable(environment, "EDGE_CONFIG"));
-        Path state = Path.of(requireVariable(environment, "EDGE_STATE"));
+        Path stateFolder = Path.of(requireVariable(environment, "EDGE_STATE"));
         try (JsonParser parser = new JsonFactory().createParser(Files.readString(file))) {
             parser.nextToken();
             if (!(JsonReader.readValue(parser) instanceof Map<?, ?> source) || parser.nextToken() != null) {
                 throw new JsonDataException("one object is needed");
             }
-            return of(source, state, environment.get("EDGE_ADMIN_ADDR"));
+            return of(source, stateFolder, environment.get("EDGE_ADMIN_ADDR"));
         } catch (IOException e) {
             throw new BadConfigException("EDGE_CONFIG: can't be read: " + e.getMessage());
         } catch (JsonDataException | IllegalArgumentException e) {
@@ -61,89 +80,98 @@
         }
     }
 
-    private static Config of(Map<?, ?> source, Path state, String ownAdmin) {
+    private static Config of(Map<?, ?> source, Path stateFolder, String adminOverride) {
         JsonReader json = JsonReader.ofObject("config", source);
-        JsonReader params = json.object("settings");
-        JsonReader limits = json.object("limits");
-        Policy.Settings settings = JsonCodec.readSettings(Long.parseUnsignedLong(json.text("seed"), 16), params);
-        long version = -1;
+        JsonReader settingsJson = json.object("settings");
+        JsonReader limitsJson = json.object("limits");
+        Policy.Settings settings = JsonCodec.readSettings(Long.parseUnsignedLong(json.text("seed"), 16), settingsJson);
+        long knownVersion = -1;
         List<Target> known = List.of();
         if (json.value("known") != null) {
-            JsonReader list = json.object("known");
-            version = list.integer("rev");
-            known = Target.readAll(list);
+            JsonReader knownJson = json.object("known");
+            knownVersion = knownJson.integer("rev");
+            known = Target.readAll(knownJson);
         }
-        String how = params.value("stats") == null ? null : params.object("stats").textOrNull("how");
-        // Guards against two versions that run at once from one file: each has the address of its environment.
-        String admin = ownAdmin == null || ownAdmin.isEmpty() ? json.textOrNull("admin_addr") : ownAdmin;
-        return new Config(parseAddress(json.text("listen")), admin == null ? null : parseAddress(admin),
-                parseAddress(json.text("discovery")), state, socketLimit(limits),
-                (long) (limits.number("disk_mb") * BYTES_PER_MIB), settings, params.secondsAsMicros("period-s", 0),
-                params.object("limits").secondsAsMicros("conn-idle-s"), how != null && !how.equals("off"), version, known,
-                source);
+        String reportMode = settingsJson.value("stats") == null ? null : settingsJson.object("stats").textOrNull("how");
+        // During an upgrade two processes run from one file; each gets an address of its own from its environment.
+        String adminText = adminOverride == null || adminOverride.isEmpty() ? json.textOrNull("admin_addr")
+                : adminOverride;
+        return new Config(parseAddress(json.text("listen")), adminText == null ? null : parseAddress(adminText),
+                parseAddress(json.text("discovery")), stateFolder, socketLimit(limitsJson),
+                (long) (limitsJson.number("disk_mb") * BYTES_PER_MIB), settings,
+                settingsJson.secondsAsMicros("period-s", 0),
+                settingsJson.object("limits").secondsAsMicros("conn-idle-s"),
+                reportMode != null && !reportMode.equals("off"), knownVersion, known, source);
     }
 
     /**
-     * What a later file lacks that this one has, or has of another kind; null where nothing. Guards against a file
-     * that can be read but is not whole: what is optional by itself would silently take its default.
+     * Compares a file read later with this one. Returns the path of the first setting that the later file lacks or has
+     * with another JSON type, or null where there is none. Without this check an incomplete file that can still be
+     * parsed would be accepted, and its missing optional settings would silently take their defaults.
      */
     String findMissingSetting(Config later) {
         return findMissingPath("", source, later.source);
     }
 
-    private static String findMissingPath(String where, Object here, Object there) {
-        if (here instanceof Map<?, ?> members) {
-            if (!(there instanceof Map<?, ?> others)) {
-                return where;
+    /** Compares the JSON values of both files at one path; returns as {@link #findMissingSetting} does. */
+    private static String findMissingPath(String path, Object current, Object later) {
+        if (current instanceof Map<?, ?> currentMembers) {
+            if (!(later instanceof Map<?, ?> laterMembers)) {
+                return path;
             }
-            for (Map.Entry<?, ?> member : members.entrySet()) {
-                String path = where + "/" + member.getKey();
-                String lack = OPTIONAL_PATHS.contains(path) ? null
-                        : findMissingPath(path, member.getValue(), others.get(member.getKey()));
-                if (lack != null) {
-                    return lack;
+            for (Map.Entry<?, ?> member : currentMembers.entrySet()) {
+                String memberPath = path + "/" + member.getKey();
+                String missing = OPTIONAL_PATHS.contains(memberPath) ? null
+                        : findMissingPath(memberPath, member.getValue(), laterMembers.get(member.getKey()));
+                if (missing != null) {
+                    return missing;
                 }
             }
             return null;
         }
-        if (here instanceof List<?> entries) {
-            return there instanceof List<?> others ? findMissingPathInEntries(where, entries, others) : where;
+        if (current instanceof List<?> currentEntries) {
+            return later instanceof List<?> laterEntries
+                    ? findMissingPathInEntries(path, currentEntries, laterEntries) : path;
         }
-        boolean alike = here == null || here instanceof Number && there instanceof Number
-                || there != null && here.getClass() == there.getClass();
-        return alike ? null : where;
+        boolean sameType = current == null || current instanceof Number && later instanceof Number
+                || later != null && current.getClass() == later.getClass();
+        return sameType ? null : path;
     }
 
-    /** Entries come and go; each has what all of the present ones have. */
-    private static String findMissingPathInEntries(String where, List<?> here, List<?> there) {
-        if (here.isEmpty() || !here.stream().allMatch(entry -> entry instanceof Map)) {
+    /**
+     * Compares two lists. Entries may have been added or removed, but each entry of the later list needs the members
+     * that all entries of the current list have in common.
+     */
+    private static String findMissingPathInEntries(String path, List<?> currentEntries, List<?> laterEntries) {
+        if (currentEntries.isEmpty() || !currentEntries.stream().allMatch(entry -> entry instanceof Map)) {
             return null;
         }
-        Map<Object, Object> common = new HashMap<>((Map<?, ?>) here.get(0));
-        here.forEach(entry -> common.keySet().retainAll(((Map<?, ?>) entry).keySet()));
-        return there.stream().map(entry -> findMissingPath(where, common, entry)).filter(Objects::nonNull).findFirst()
-                .orElse(null);
+        Map<Object, Object> commonMembers = new HashMap<>((Map<?, ?>) currentEntries.get(0));
+        currentEntries.forEach(entry -> commonMembers.keySet().retainAll(((Map<?, ?>) entry).keySet()));
+        return laterEntries.stream().map(entry -> findMissingPath(path, commonMembers, entry))
+                .filter(Objects::nonNull).findFirst().orElse(null);
     }
 
-    private static int socketLimit(JsonReader limits) {
-        long sockets = limits.integer("sockets");
+    /** Reads {@code limits.sockets}, which must leave descriptors for connections. */
+    private static int socketLimit(JsonReader limitsJson) {
+        long sockets = limitsJson.integer("sockets");
         if (sockets <= RESERVED_DESCRIPTORS) {
             throw new IllegalArgumentException("limits.sockets: more than " + RESERVED_DESCRIPTORS + " are needed");
         }
         return (int) Math.min(sockets, Integer.MAX_VALUE);
     }
 
-    /** How many descriptors another process takes, with so many connections and all that it has besides. */
+    /** Descriptors that a process with so many connections takes, including those for everything else. */
     static int descriptorsFor(int connections) {
         return connections + RESERVED_DESCRIPTORS;
     }
 
-    /** How many connections clients may hold. */
+    /** Largest number of connections that clients may hold. */
     int maxClientConnections() {
         return (int) Math.ceil(CLIENT_CONNECTION_SHARE * (socketLimit - RESERVED_DESCRIPTORS));
     }
 
-    /** How many connections to hosts there may be. */
+    /** Largest number of connections to hosts. */
     int maxHostConnections() {
         return Math.max(1, socketLimit - RESERVED_DESCRIPTORS - maxClientConnections());
     }
@@ -156,7 +184,7 @@
         return value;
     }
 
-    /** An address in digits with its port: there is no DNS. */
+    /** Parses a numeric IPv4 address, or an IPv6 address in brackets, with its port; there is no DNS. */
     static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
--- a/src/main/java/drumdeal/relay/ConfigReloader.java
+++ b/src/main/java/drumdeal/relay/ConfigReloader.java
@@ -5,48 +5,52 @@
 import java.util.concurrent.Executors;
 import sun.misc.Signal;
 
-/** Reads the configuration again at each SIGHUP, away from the event loop. */
+/** Reads the configuration again at each SIGHUP, on a thread of its own so that the event loop is not blocked. */
 final class ConfigReloader {
-    /** What becomes of a configuration that was read. */
+    /** Receives the result of each reload, on the reloader's thread. */
     interface Listener {
-        void onConfigReloaded(Config next);
+        /** The new configuration is valid and replaces the current one. */
+        void onConfigReloaded(Config newConfig);
 
-        /** It is not whole, or makes no sense; nothing of it holds. */
-        void onConfigRejected(String why);
+        /** The new configuration can't be read, is incomplete or invalid; the current one stays in force. */
+        void onConfigRejected(String reason);
     }
 
     private final Map<String, String> environment;
     private final Listener listener;
     private Config currentConfig;
 
-    private ConfigReloader(Map<String, String> environment, Config inForce, Listener taker) {
+    private ConfigReloader(Map<String, String> environment, Config currentConfig, Listener listener) {
         this.environment = environment;
-        this.currentConfig = inForce;
-        this.listener = taker;
+        this.currentConfig = currentConfig;
+        this.listener = listener;
     }
 
-    /** Takes SIGHUP from now on; a configuration that can't be taken whole leaves the old one in force. */
-    static void reloadOnHangUp(Map<String, String> environment, Config inForce, Listener taker) {
-        ConfigReloader reload = new ConfigReloader(environment, inForce, taker);
-        // Guards, by a single thread, against an older file that overtakes a newer one.
-        ExecutorService reader = Executors.newSingleThreadExecutor(work -> {
-            Thread thread = new Thread(work, "reload");
+    /**
+     * Starts handling SIGHUP. A configuration is accepted or rejected as a whole; where it is rejected, the current one
+     * stays in force, at first {@code initialConfig}.
+     */
+    static void reloadOnHangUp(Map<String, String> environment, Config initialConfig, Listener listener) {
+        ConfigReloader reloader = new ConfigReloader(environment, initialConfig, listener);
+        // With more than one thread an older file could be applied after a newer one.
+        ExecutorService executor = Executors.newSingleThreadExecutor(task -> {
+            Thread thread = new Thread(task, "reload");
             thread.setDaemon(true);
             return thread;
         });
-        Signal.handle(new Signal("HUP"), signal -> reader.execute(reload::reloadConfig));
+        Signal.handle(new Signal("HUP"), signal -> executor.execute(reloader::reloadConfig));
     }
 
     private void reloadConfig() {
         try {
-            Config next = Config.read(environment);
-            String lack = currentConfig.findMissingSetting(next);
-            if (lack != null) {
-                listener.onConfigRejected("EDGE_CONFIG: " + lack + " is missing or of another kind");
+            Config newConfig = Config.read(environment);
+            String missing = currentConfig.findMissingSetting(newConfig);
+            if (missing != null) {
+                listener.onConfigRejected("EDGE_CONFIG: " + missing + " is missing or of another kind");
                 return;
             }
-            currentConfig = next;
-            listener.onConfigReloaded(next);
+            currentConfig = newConfig;
+            listener.onConfigReloaded(newConfig);
         } catch (Config.BadConfigException e) {
             listener.onConfigRejected(e.getMessage());
         }
--- a/src/main/java/drumdeal/relay/PredecessorLink.java
+++ b/src/main/java/drumdeal/relay/PredecessorLink.java
@@ -15,25 +15,37 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** The newer process's side of an upgrade: takes over from the older one, and from what it leaves behind. */
+/**
+ * The newer process's side of an upgrade: takes over from one older process, and adopts the messages that it leaves in
+ * its process folder when it ends. Used on the event loop alone.
+ */
 final class PredecessorLink {
-    /** Guards against an older process that hangs: the newer one then serves without what that one knows. */
+    /** How long to wait for the older process's snapshot; if that process hangs, this one serves without it. */
     private static final long SNAPSHOT_TIMEOUT_MILLIS = 2000;
+    /** How often to check whether the older process has ended. */
     private static final long LOCK_POLL_MILLIS = 20;
 
-    /** What the relay takes over. */
+    /** What the relay does with the state and the messages of an older process. */
     interface TakeoverHandler {
-        void applySnapshot(HandoverSnapshot standing);
+        /** Applies the state of the older process, which takes no more decisions. */
+        void applySnapshot(HandoverSnapshot snapshot);
 
-        /** Puts a message into the journal, to be run once it was let go. */
+        /** Writes a message to the journal; its delivery must wait for {@link #takeOwnership}. */
         Message storeMessage(byte[] records) throws IOException;
 
+        /** The older process no longer holds the message: its delivery continues in this one. */
         void takeOwnership(Message message);
 
-        void onPredecessorOutcome(String route, Policy.Result result, long wait, long elapsed, int callsOut);
+        /**
+         * A call of the older process has ended. {@code waitMicros} is the wait that the host asked for, 0 where none,
+         * {@code elapsedMicros} the time that the call took, and {@code callsInFlight} the number of calls that the
+         * older process still has in flight.
+         */
+        void onPredecessorOutcome(String route, Policy.Result result, long waitMicros, long elapsedMicros,
+                int callsInFlight);
 
-        /** The older process has ended; what it has left in its part is adopted. */
-        void adoptFolder(StateFolder.LockedFolder part) throws IOException;
+        /** The older process has ended: takes over the messages left in its folder, which this process has locked. */
+        void adoptFolder(StateFolder.LockedFolder folder) throws IOException;
     }
 
     private final EventLoop loop;
@@ -41,47 +53,52 @@
     private final TakeoverHandler handler;
     private final Consumer<HandoverSnapshot> onReady;
     private final Runnable onPredecessorEnded;
-    /** Messages that the older process has not let go of yet, by their number there. */
+    /** Messages stored here that the older process has not released yet, by their number in that process. */
     private final Map<Long, Message> unreleasedMessages = new HashMap<>();
+    /** Null until {@link #takeOver}, and where no connection could be attempted. */
     private Channel channel;
     private boolean readyReported;
 
     /**
-     * {@code next} is told once, as soon as this process may listen for clients, where the other one stands, or null
-     * where that is not known; {@code gone} runs once that one has ended.
+     * Prepares to take over from the process that owns {@code predecessorFolder}. {@code onReady} is called once, as
+     * soon as this process may listen for clients, with the snapshot of the older one, or with null where there is
+     * none. {@code onPredecessorEnded} runs once the older process has ended and its messages are adopted.
      */
-    PredecessorLink(EventLoop loop, Path part, TakeoverHandler heir, Consumer<HandoverSnapshot> next, Runnable gone) {
+    PredecessorLink(EventLoop loop, Path predecessorFolder, TakeoverHandler handler,
+            Consumer<HandoverSnapshot> onReady, Runnable onPredecessorEnded) {
         this.loop = loop;
-        this.predecessorFolder = part;
-        this.handler = heir;
-        this.onReady = next;
-        this.onPredecessorEnded = gone;
+        this.predecessorFolder = predecessorFolder;
+        this.handler = handler;
+        this.onReady = onReady;
+        this.onPredecessorEnded = onPredecessorEnded;
     }
 
+    /** Connects to the older process and asks to take over. */
     void takeOver() {
-        ChannelFuture opening;
+        ChannelFuture connecting;
         try {
-            opening = new Bootstrap().group(loop).channel(NioDomainSocketChannel.class)
+            connecting = new Bootstrap().group(loop).channel(NioDomainSocketChannel.class)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
-                        protected void initChannel(Channel ch) {
-                            Handover.attachFrameHandler(ch, PredecessorLink.this::onFrame);
+                        protected void initChannel(Channel connection) {
+                            Handover.attachFrameHandler(connection, PredecessorLink.this::onFrame);
                         }
                     }).connect(Handover.socketAddress(predecessorFolder));
         } catch (IllegalArgumentException | UnsupportedOperationException e) {
-            Log.write("no handover: " + e);
+            Log.write("handover: can't connect to the older process, starting without its snapshot: " + e);
             onChannelClosed();
             return;
         }
-        channel = opening.channel();
-        opening.addListener(connected -> {
+        channel = connecting.channel();
+        connecting.addListener(connected -> {
             if (connected.isSuccess()) {
                 Handover.send(channel, Handover.FrameType.TAKEOVER_REQUEST, out -> out.writeInt(Handover.VERSION));
             } else {
-                Log.write("no handover: " + connected.cause());
+                Log.write("handover: can't connect to the older process, starting without its snapshot: "
+                        + connected.cause());
             }
         });
-        channel.closeFuture().addListener(ended -> onChannelClosed());
+        channel.closeFuture().addListener(closed -> onChannelClosed());
         loop.schedule(() -> {
             if (!readyReported) {
                 channel.close();
@@ -89,19 +106,19 @@
         }, SNAPSHOT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** This process listens for clients. */
+    /** Tells the older process, where connected, that this one listens for clients. */
     void sendListening() {
         if (channel != null && channel.isActive()) {
             Handover.send(channel, Handover.FrameType.LISTENING, out -> { });
         }
     }
 
-    private void onFrame(Handover.FrameType word, DataInputStream in) throws IOException {
-        switch (word) {
+    private void onFrame(Handover.FrameType type, DataInputStream in) throws IOException {
+        switch (type) {
             case SNAPSHOT -> {
-                HandoverSnapshot standing = HandoverSnapshot.read(in);
-                handler.applySnapshot(standing);
-                reportReady(standing);
+                HandoverSnapshot snapshot = HandoverSnapshot.read(in);
+                handler.applySnapshot(snapshot);
+                reportReady(snapshot);
             }
             case MESSAGE -> {
                 long number = in.readLong();
@@ -114,16 +131,16 @@
                     handler.takeOwnership(message);
                 }
             }
-            case OUTCOME -> handler.onPredecessorOutcome(in.readUTF(), Policy.Result.valueOf(in.readUTF()), in.readLong(),
-                    in.readLong(), in.readInt());
-            default -> throw new IOException("unexpected " + word);
+            case OUTCOME -> handler.onPredecessorOutcome(in.readUTF(), Policy.Result.valueOf(in.readUTF()),
+                    in.readLong(), in.readLong(), in.readInt());
+            default -> throw new IOException("unexpected frame " + type);
         }
     }
 
-    private void reportReady(HandoverSnapshot standing) {
+    private void reportReady(HandoverSnapshot snapshot) {
         if (!readyReported) {
             readyReported = true;
-            onReady.accept(standing);
+            onReady.accept(snapshot);
         }
     }
 
@@ -132,18 +149,22 @@
         adoptOnceUnlocked();
     }
 
-    /** Adopts once the older process has ended: while it lives it may yet send what it has not let go of. */
+    /**
+     * Takes over all messages of the older process once that has ended, which its lock shows. While it runs, it may
+     * still send a message that it has not released, and two processes would deliver the same message.
+     */
     private void adoptOnceUnlocked() {
-        try (StateFolder.LockedFolder left = StateFolder.tryLock(predecessorFolder)) {
-            if (left != null) {
+        try (StateFolder.LockedFolder folder = StateFolder.tryLock(predecessorFolder)) {
+            if (folder != null) {
                 unreleasedMessages.values().forEach(handler::takeOwnership);
                 unreleasedMessages.clear();
-                handler.adoptFolder(left);
+                handler.adoptFolder(folder);
                 onPredecessorEnded.run();
                 return;
             }
         } catch (IOException e) {
-            Log.write("handover: what is left in " + predecessorFolder.getFileName() + " can't be adopted: " + e.getMessage());
+            Log.write("handover: can't adopt the messages in folder " + predecessorFolder.getFileName()
+                    + ", trying again: " + e.getMessage());
         }
         loop.schedule(this::adoptOnceUnlocked, LOCK_POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/drumdeal/relay/RouteStateFile.java
+++ b/src/main/java/drumdeal/relay/RouteStateFile.java
@@ -8,87 +8,93 @@
 import java.util.zip.CRC32;
 
 /**
- * What the decision module has learned of its routes, in a file that outlasts the process. Guards against a fleet that
- * is killed together and comes back with every circuit closed and every pace without limit.
+ * Stores what the decision module has learned of its routes in a file that survives the process. Without it, a fleet
+ * whose relays are all killed at once would restart with every circuit closed and no limit on any route's rate.
+ *
+ * <p>The file holds a version (int), the time of writing (long, microseconds of the {@link Clock}), a CRC-32 of that
+ * time and the state (int), and the state as the decision module encodes it.
  */
 final class RouteStateFile {
-    /** What is older tells nothing of now: outages and lowered limits last seconds. */
+    /** State older than this is not used: outages and lowered limits last seconds. */
     static final long MAX_AGE_MICROS = 15_000_000;
     private static final int VERSION = 1;
-    /** Of the disk, for the file that stands; for a moment the next one stands beside it. */
+    /** The file may take the disk limit divided by this; while it is replaced, the new file exists beside it. */
     private static final int MAX_DISK_SHARE_DIVISOR = 8;
+    /** Allowance for each file's last block, which is only partly used. */
     private static final int BLOCK_BYTES = 512;
+    /** Version, time of writing, checksum. */
     private static final int HEADER_BYTES = Integer.BYTES + Long.BYTES + Integer.BYTES;
     private static final String FILE_NAME = "health";
 
     private RouteStateFile() { }
 
     /**
-     * Replaces the file and tells how much of the disk it wants; an error costs the next process what was learned,
-     * nothing else.
+     * Replaces the file and returns the bytes of disk to reserve for it and its next replacement; 0 where the state is
+     * too large to be written. A failure has no other effect than that the next process may start without the state.
      */
-    static long write(Path folder, byte[] memory, long now, long disk) {
-        if (HEADER_BYTES + memory.length > disk / MAX_DISK_SHARE_DIVISOR) {
-            Log.write("health: there is no room for " + memory.length + " bytes");
+    static long write(Path folder, byte[] state, long nowMicros, long diskLimitBytes) {
+        if (HEADER_BYTES + state.length > diskLimitBytes / MAX_DISK_SHARE_DIVISOR) {
+            Log.write("health: route state not written, its share of the disk is too small for " + state.length
+                    + " bytes");
             return 0;
         }
-        byte[] file = ByteBuffer.allocate(HEADER_BYTES + memory.length).putInt(VERSION).putLong(now).putInt(checksum(memory, now))
-                .put(memory).array();
-        Path unfinished = folder.resolve(FILE_NAME + ".new");
+        byte[] file = ByteBuffer.allocate(HEADER_BYTES + state.length).putInt(VERSION).putLong(nowMicros)
+                .putInt(checksum(state, nowMicros)).put(state).array();
+        Path temporary = folder.resolve(FILE_NAME + ".new");
         try {
-            Files.write(unfinished, file);
-            Files.move(unfinished, folder.resolve(FILE_NAME), StandardCopyOption.ATOMIC_MOVE);
+            Files.write(temporary, file);
+            Files.move(temporary, folder.resolve(FILE_NAME), StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            Log.write("health: can't be written: " + e.getMessage());
+            Log.write("health: can't write the route state: " + e.getMessage());
         }
         return 2L * (file.length + BLOCK_BYTES);
     }
 
-    /** What the last process has learned; null, and one line for staff, where nothing of it can be relied on. */
-    static byte[] read(Path folder, long now, long disk) {
+    /** Returns the state that the last process wrote. Where it can't be used, logs the reason and returns null. */
+    static byte[] read(Path folder, long nowMicros, long diskLimitBytes) {
         try {
             Path path = folder.resolve(FILE_NAME);
             if (!Files.exists(path)) {
                 return reportUnusable("there is no file");
             }
-            if (Files.size(path) > disk / MAX_DISK_SHARE_DIVISOR) {
+            if (Files.size(path) > diskLimitBytes / MAX_DISK_SHARE_DIVISOR) {
                 return reportUnusable("the file is too large");
             }
             ByteBuffer file = ByteBuffer.wrap(Files.readAllBytes(path));
             if (file.remaining() < HEADER_BYTES) {
-                return reportUnusable("the file is cut short");
+                return reportUnusable("the file is shorter than its header");
             }
             int version = file.getInt();
-            long writtenAt = file.getLong();
-            int sum = file.getInt();
-            byte[] memory = new byte[file.remaining()];
-            file.get(memory);
+            long writtenAtMicros = file.getLong();
+            int storedChecksum = file.getInt();
+            byte[] state = new byte[file.remaining()];
+            file.get(state);
             if (version != VERSION) {
-                return reportUnusable("the file is of version " + version);
+                return reportUnusable("the file has unknown version " + version);
             }
-            if (sum != checksum(memory, writtenAt)) {
-                return reportUnusable("the file is not whole");
+            if (storedChecksum != checksum(state, writtenAtMicros)) {
+                return reportUnusable("the checksum of the file is wrong");
             }
-            long age = now - writtenAt;
-            if (age > MAX_AGE_MICROS || age < 0) {
-                return reportUnusable("the file is " + age / 1000 + " ms old");
+            long ageMicros = nowMicros - writtenAtMicros;
+            if (ageMicros > MAX_AGE_MICROS || ageMicros < 0) {
+                return reportUnusable("the file is " + ageMicros / 1000 + " ms old");
             }
-            Log.write("health: as it was " + age / 1000 + " ms ago");
-            return memory;
+            Log.write("health: as it was " + ageMicros / 1000 + " ms ago");
+            return state;
         } catch (IOException e) {
             return reportUnusable(e.toString());
         }
     }
 
-    private static byte[] reportUnusable(String why) {
-        Log.write("health: nothing from before: " + why);
+    private static byte[] reportUnusable(String reason) {
+        Log.write("health: starting without stored route state: " + reason);
         return null;
     }
 
-    private static int checksum(byte[] memory, long writtenAt) {
+    private static int checksum(byte[] state, long writtenAtMicros) {
         CRC32 crc = new CRC32();
-        crc.update(ByteBuffer.allocate(Long.BYTES).putLong(writtenAt).array());
-        crc.update(memory);
+        crc.update(ByteBuffer.allocate(Long.BYTES).putLong(writtenAtMicros).array());
+        crc.update(state);
         return (int) crc.getValue();
     }
 }
