--- a/src/main/java/drumdeal/relay/HostClient.java
+++ b/src/main/java/drumdeal/relay/HostClient.java
@@ -23,51 +23,74 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Calls hosts over kept connections and tells what became of each attempt. It resends nothing: a call goes
- * out once, on one connection.
+ * HTTP client for the hosts. It keeps connections alive, sends each call once on one connection, without
+ * retries, and reports the result of each attempt and probe. Everything runs on one event loop. Unless stated
+ * otherwise, times are in microseconds on the relay's {@link Clock} and durations in microseconds.
  */
 final class HostClient {
     private static final long PROBE_TIMEOUT_MICROS = 1_500_000;
     private static final long MICROS_PER_SECOND = 1_000_000;
+    /** Hosts do not accept calls with larger bodies. */
     private static final int MAX_BODY_BYTES = 64 << 10;
-    /** How long a host's connections count as scarce after it has turned a new one away. */
+    /** How long a host counts as being at its connection limit after it rejected a new connection. */
     private static final long CONNECTION_LIMIT_HOLD_MICROS = 10 * MICROS_PER_SECOND;
-    /** Long enough for the next call that waits already. */
+    /**
+     * How long a connection is kept idle while hosts of its kind are at their connection limit: long enough for
+     * the next call, if one is already waiting.
+     */
     private static final long LIMITED_IDLE_TIMEOUT_MICROS = 25_000;
 
-    /** Takes in what became of attempts and probes. */
+    /** Receives the results of attempts and probes. */
     interface ResultListener {
-        /** An attempt ended; {@code over} means that nothing more is owed for its message. */
+        /**
+         * An attempt ended. {@code over} is true where its message needs neither another attempt nor a notice.
+         * {@code wait} is the retry-after delay that the host sent, 0 where it sent none.
+         */
         void attemptEnded(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report);
 
+        /**
+         * A probe ended. {@code wait} is the retry-after delay that the host sent, 0 where it sent none;
+         * {@code elapsed} is the time since the probe was started.
+         */
         void probeEnded(String route, Result result, long wait, long elapsed, LimitReport report);
 
-        /** A call with so many messages has left whole. */
+        /** The request of a call was written completely; {@code messages} is 0 for a probe. */
         void callWritten(int messages);
     }
 
-    /** An attempt to send, how long its answer is waited for, and until when it may leave. */
+    /**
+     * An attempt to send. {@code timeout} is how long to wait for the response, counted from the start of the
+     * call; {@code sendDeadline} is the time from which on the attempt must not be sent any more.
+     */
     record OutgoingAttempt(Message.Attempt attempt, long timeout, long sendDeadline) { }
 
-    /** Until when a destination, or a route apart, has told this relay to wait. */
+    /**
+     * The time before which no call may be sent, as requested by hosts. All hosts of a destination share one
+     * object; a host whose kind has limits per route has its own.
+     */
     private static final class RetryAfter {
         long until;
     }
 
-    /** A listed host with its connections. */
+    /** A listed host with its connections and the calls that wait for one. */
     static final class Host {
         private Target target;
         private final RetryAfter retryAfter;
+        /** The most messages in one call to this host. */
         private final int maxBatchSize;
+        /** The connection used last is at the end. */
         private final ArrayDeque<HostConnection> idleConnections = new ArrayDeque<>();
         /** Calls that wait for a connection, oldest first. */
         private final Set<HostCall> queue = new LinkedHashSet<>();
         private int pendingConnects;
-        /** Connections there are, those that are being made too. */
+        /** Number of connections, those being established included. */
         private int connectionCount;
-        /** Until when its connections count as scarce. */
+        /** Until this time the host counts as being at its connection limit. */
         private long connectionLimitedUntil;
-        /** How often its kept connections were found not worth trusting. */
+        /**
+         * Incremented whenever the idle connections are closed. A connection that is about to become idle compares it,
+         * so that it is closed too.
+         */
         private int idleGeneration;
 
         private Host(Target target, RetryAfter wait, int batch) {
@@ -92,13 +115,17 @@
             return target.listed().availability() == Policy.Availability.LISTED;
         }
 
-        /** True where another entry speaks of the same place, so that connections and waits go on. */
+        /**
+         * True if another list entry means the same address, destination and kind, so that the connections and the
+         * retry-after time remain valid.
+         */
         private boolean isSameEndpoint(Target other) {
             return target.address().equals(other.address())
                     && target.listed().destination() == other.listed().destination()
                     && target.listed().kind().equals(other.listed().kind());
         }
 
+        /** Host and port for the HTTP {@code Host} header. */
         String authority() {
             return target.address().getHostString() + ":" + target.address().getPort();
         }
@@ -108,24 +135,29 @@
     private final Clock clock;
     private final ResultListener resultListener;
     private final Bootstrap bootstrap;
+    /** True where probes ask for a load report instead of a health check. */
     private boolean usesLoadReports;
-    /** The longest that a connection is kept idle. */
+    /** Upper limit of the idle time of a connection. */
     private long maxIdleMicros;
     private final IdleTimeout idleTimeout;
     private final int configuredMaxConnections;
+    /** {@link #configuredMaxConnections} without the descriptors reserved for another process. */
     private int maxConnections;
+    /** Set once another process of this relay has taken over: connections are closed after their calls. */
     private boolean keepAliveDisabled;
     private final Map<String, Policy.DestinationKind> kinds = new HashMap<>();
     private int fleetSize;
-    /** Until when connections to hosts of a kind are let go for others. */
+    /** Until these times connections to hosts of a kind are closed soon after their calls. */
     private final Map<String, Long> connectionLimitedUntilByKind = new HashMap<>();
+    /** Listed hosts by route. */
     private final Map<String, Host> hosts = new HashMap<>();
     private final Map<Integer, RetryAfter> retryAfterByDestination = new HashMap<>();
-    /** Idle connections of all hosts, the one that has stood longest first. */
+    /** Idle connections of all hosts, the one that has been idle longest first. */
     private final Set<HostConnection> idleConnections = new LinkedHashSet<>();
     private final Map<Message.Attempt, HostCall> callsByAttempt = new HashMap<>();
+    /** All connections, those being established included. */
     private final Set<HostConnection> connections = new HashSet<>();
-    /** Hosts whose calls wait until another connection has closed, as there may be no more. */
+    /** Hosts whose calls wait for another connection to close, because the limit on connections is reached. */
     private final Set<Host> hostsAwaitingDescriptors = new LinkedHashSet<>();
 
     HostClient(EventLoop loop, Clock clock, Config config, ResultListener results) {
@@ -140,11 +172,13 @@
         idleTimeout = new IdleTimeout(maxIdleMicros, clock.micros());
     }
 
-    /** Goes by other settings from now on. */
+    /** Applies other settings from now on; the limit on connections stays as it was at the start. */
     void applySettings(Config config) {
         usesLoadReports = config.usesLoadReports();
-        // Guards against a call on a connection that the host is just closing: it would end as a reset.
-        maxIdleMicros = Math.max(config.connectionIdleTimeoutMicros() / 2, config.connectionIdleTimeoutMicros() - MICROS_PER_SECOND);
+        // Closes idle connections one second before the host does, or at half its idle timeout where that is later.
+        // A call sent while the host closes the connection would end as RESET.
+        maxIdleMicros = Math.max(config.connectionIdleTimeoutMicros() / 2,
+                config.connectionIdleTimeoutMicros() - MICROS_PER_SECOND);
         kinds.clear();
         config.settings().kinds().forEach(kind -> kinds.put(kind.name(), kind));
         fleetSize = config.settings().fleetSize();
@@ -152,7 +186,10 @@
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeout / 1000));
     }
 
-    /** Takes in a list of hosts; what drains or is gone is sent nothing new from now on. */
+    /**
+     * Applies a list of hosts, or changes to it. From now on no call is sent to hosts that drain or are removed;
+     * a list that is not of type {@code CHANGES} removes the hosts it does not contain.
+     */
     void updateTargets(RouteListUpdateType kind, List<Target> targets) {
         Set<String> named = new HashSet<>();
         for (Target target : targets) {
@@ -192,7 +229,10 @@
         stopSending(host);
     }
 
-    /** Guards against a first byte after the grace: what still waits for a connection never leaves. */
+    /**
+     * Stops sending to a host that drains or was removed. Queued calls end as NOT_SENT: one that got its connection
+     * later could reach the host after the drain grace.
+     */
     private void stopSending(Host host) {
         List.copyOf(host.queue).forEach(call -> {
             host.queue.remove(call);
@@ -201,18 +241,18 @@
         closeIdle(host);
     }
 
-    /** Sends what one round has for one route, in as few calls as its kind allows. */
+    /** Sends the attempts that one round made for one route, in as few calls as the host's kind allows. */
     void send(String route, List<OutgoingAttempt> outgoing) {
         Host host = hosts.get(route);
         if (host == null || !host.isListed()) {
-            outgoing.forEach(o -> resultListener.attemptEnded(o.attempt(), Result.NOT_SENT, false, 0, LimitReport.NONE));
+            outgoing.forEach(
+                    o -> resultListener.attemptEnded(o.attempt(), Result.NOT_SENT, false, 0, LimitReport.NONE));
             return;
         }
         List<OutgoingAttempt> batch = new ArrayList<>();
         int bytes = 0;
         for (OutgoingAttempt next : outgoing) {
             int size = HostCall.encodedSize(next.attempt().message);
-            // Guards against a call with a larger body than a host takes.
             if (!batch.isEmpty() && (batch.size() >= host.maxBatchSize || bytes + size > MAX_BODY_BYTES)) {
                 startBatch(host, batch);
                 batch = new ArrayList<>();
@@ -230,6 +270,7 @@
         start(call);
     }
 
+    /** Checks a host with a request that delivers no message. The result goes to the listener. */
     void probe(String route) {
         Host host = hosts.get(route);
         if (host == null || !host.isListed()) {
@@ -239,6 +280,7 @@
         start(new HostCall(this, host, usesLoadReports ? "/-/load" : "/-/healthy", PROBE_TIMEOUT_MICROS));
     }
 
+    /** Closes the idle connections to a route; see {@link #closeIdle(Host)}. */
     void closeIdle(String route) {
         Host host = hosts.get(route);
         if (host != null) {
@@ -247,23 +289,29 @@
     }
 
     /**
-     * Guards, after a call that broke or fell silent, against the next one on a connection that died with it:
-     * that call would end as a reset, where a new connection that fails proves that it never ran.
+     * Closes the idle connections to a host after a call on one of its connections broke or timed out. The others
+     * may be dead too. A call on a dead connection would end as RESET and might have run, whereas a failed attempt
+     * to connect proves that the call never ran.
      */
     void closeIdle(Host host) {
         closeIdle(host, Long.MAX_VALUE);
     }
 
-    /** As above, but for connections that have answered since a time: they did not die with what was sent then. */
+    /**
+     * Like {@link #closeIdle(Host)}, but keeps connections that have received a response at {@code provenSince} or
+     * later: they did not die together with a call that was sent at that time.
+     */
     void closeIdle(Host host, long provenSince) {
         host.idleGeneration++;
         List.copyOf(host.idleConnections).stream().filter(connection -> connection.idleSince() < provenSince)
                 .forEach(HostConnection::close);
     }
 
+    /** Sends a call on an idle connection, or queues it and connects. */
     private void start(HostCall call) {
         Host host = call.host();
-        for (HostConnection last = host.idleConnections.pollLast(); last != null; last = host.idleConnections.pollLast()) {
+        for (HostConnection last = host.idleConnections.pollLast(); last != null;
+                last = host.idleConnections.pollLast()) {
             idleConnections.remove(last);
             if (last.isUsable()) {
                 dispatch(last, call);
@@ -274,15 +322,17 @@
         connect(host);
     }
 
+    /** Opens a connection for a queued call, unless the host or the process is at its limit. */
     private void connect(Host host) {
-        // Guards against connections beyond those that the host takes: they are turned away, and their calls with them.
+        // A host at its connection limit would reject another connection, and with it the call on it. The call waits
+        // for one of the connections there are.
         if (isConnectionLimited(host) && host.connectionCount > 0) {
             return;
         }
         if (connections.size() >= maxConnections && !idleConnections.isEmpty()) {
             idleConnections.iterator().next().close();
         }
-        // Guards against more descriptors than there are, where nothing is idle: the calls wait.
+        // No idle connection was left to close, and the process must not exceed its descriptors: the calls wait.
         if (connections.size() >= maxConnections) {
             hostsAwaitingDescriptors.add(host);
             return;
@@ -303,12 +353,13 @@
                 host.pendingConnects--;
                 release(connection);
             } else {
-                // Guards against a socket that could not even be opened: its failure is told on another thread.
+                // If the socket could not even be opened, the failure is reported on another thread.
                 loop.execute(() -> connectFailed(connection));
             }
         });
     }
 
+    /** Ends the oldest queued call, unless the connects that are still pending suffice for all queued calls. */
     private void connectFailed(HostConnection connection) {
         Host host = connection.host();
         host.pendingConnects--;
@@ -320,7 +371,7 @@
         connectionClosed(connection);
     }
 
-    /** One connection less: those that wait for room come next. */
+    /** Removes a closed connection and connects for calls that waited for a connection to close. */
     private void connectionClosed(HostConnection connection) {
         if (connections.remove(connection)) {
             Host own = connection.host();
@@ -337,28 +388,33 @@
         }
     }
 
-    /** A connection can carry a call: one that waits for it, or a later one. */
+    /** Takes back a connection that can carry another call: sends a queued call on it, keeps it idle or closes it. */
     void release(HostConnection connection) {
         Host host = connection.host();
         if (!host.queue.isEmpty()) {
             HostCall call = host.queue.iterator().next();
             host.queue.remove(call);
             dispatch(connection, call);
-        } else if (keepAliveDisabled || hosts.get(host.route()) != host || !host.isListed() || !hostsAwaitingDescriptors.isEmpty()) {
+        } else if (keepAliveDisabled || hosts.get(host.route()) != host || !host.isListed()
+                || !hostsAwaitingDescriptors.isEmpty()) {
             connection.close();
         } else {
             host.idleConnections.addLast(connection);
             idleConnections.add(connection);
-            connection.closeAfter(isKindConnectionLimited(host) ? Math.min(LIMITED_IDLE_TIMEOUT_MICROS, currentIdleTimeout()) : currentIdleTimeout());
+            connection.closeAfter(isKindConnectionLimited(host)
+                    ? Math.min(LIMITED_IDLE_TIMEOUT_MICROS, currentIdleTimeout()) : currentIdleTimeout());
         }
     }
 
     /**
-     * A host has as many connections as it takes. Guards against relays that keep theirs idle, and never learn of it,
-     * while others are turned away again and again: where they are scarce, each is let go once no call waits for it.
-     * How many a host takes goes by its kind, and a host that is full tells one relay of the whole fleet: so one
-     * speaks for all of its kind, and for as long as it takes until each relay has been told once. It harms where a
-     * kind's hosts are crowded for once: calls to them go on new connections for a while.
+     * Handles the rejection of a new connection by a host that has as many connections as it accepts. Relays that
+     * hold connections are never rejected themselves; if they kept idle ones, other relays would be rejected again
+     * and again. So for a while each connection is closed soon after its call, unless another call waits for it.
+     *
+     * <p>The limit depends on the kind of the host, and a full host rejects only one relay of the fleet at a time.
+     * Therefore one rejection counts for all hosts of the kind, and for as long as it takes until each relay of the
+     * fleet has been rejected once. The drawback: where the hosts of a kind were full only briefly, calls to them
+     * need new connections for a while.
      */
     void connectionRejected(Host host) {
         long now = clock.micros();
@@ -382,28 +438,30 @@
         return idleTimeout.currentTimeout(maxIdleMicros, clock.micros());
     }
 
-    /** A call was answered whose connection had rested before. */
+    /** A call was answered; {@code rest} is how long its connection had been idle before. */
     void idleConnectionSurvived(long rest) {
         idleTimeout.survived(rest, clock.micros());
     }
 
-    /** A connection broke under its call, after a rest. */
+    /** A connection broke under its call, before any response; {@code rest} is how long it had been idle before. */
     void idleConnectionBroke(long rest) {
         if (idleTimeout.broke(rest, maxIdleMicros, clock.micros())) {
             long kept = currentIdleTimeout();
             Log.write("a connection broke after " + rest / 1000 + " ms idle, they are kept for " + kept / 1000 + " ms");
-            idleConnections.stream().filter(connection -> connection.idleTime() > kept).toList().forEach(HostConnection::close);
+            idleConnections.stream().filter(connection -> connection.idleTime() > kept).toList()
+                    .forEach(HostConnection::close);
         }
     }
 
-    /** Forgets a connection that has closed. */
+    /** Removes a connection that is closed or about to be from the idle ones. */
     void removeIdle(HostConnection connection) {
         connection.host().idleConnections.remove(connection);
         idleConnections.remove(connection);
     }
 
     private void dispatch(HostConnection connection, HostCall call) {
-        // Guards against a call that was connecting while its destination told this relay to wait, or its time passed.
+        // While the call waited for a connection, its send deadline may have passed, or its destination may have asked
+        // this relay to wait.
         if (clock.micros() < call.host().retryAfter.until || clock.micros() >= call.sendDeadline()) {
             call.end(Result.NOT_SENT);
             release(connection);
@@ -412,18 +470,25 @@
         }
     }
 
-    /** Drops a call that was given up before it had a connection; the result says whether the host is to blame. */
+    /**
+     * Removes a call that was abandoned before it had a connection. The result is CONNECT_FAILED where a connect to
+     * the host is pending, so that the delay is the host's fault, else NOT_SENT.
+     */
     Result unqueue(HostCall call) {
         Host host = call.host();
         host.queue.remove(call);
         return host.pendingConnects > 0 ? Result.CONNECT_FAILED : Result.NOT_SENT;
     }
 
+    /**
+     * Sends nothing for a time to any host of the destination, or to this host alone where its kind has limits per
+     * route.
+     */
     void applyRetryAfter(Host host, long span) {
         host.retryAfter.until = Math.max(host.retryAfter.until, clock.micros() + span);
     }
 
-    /** Gives up one attempt. */
+    /** Cancels one attempt, if it is still in flight. */
     void cancel(Message.Attempt attempt) {
         HostCall call = callsByAttempt.get(attempt);
         if (call != null) {
@@ -431,31 +496,37 @@
         }
     }
 
+    /** Called by {@link HostCall} when one of its attempts has ended. */
     void attemptEnded(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report) {
         callsByAttempt.remove(attempt);
         resultListener.attemptEnded(attempt, result, over, wait, report);
     }
 
+    /** Called by {@link HostCall} when a probe has ended. */
     void probeEnded(HostCall call, Result result, long wait, LimitReport report) {
         resultListener.probeEnded(call.host().route(), result, wait, clock.micros() - call.startedAt(), report);
     }
 
+    /** Called by {@link HostCall} when its request was written completely. */
     void callWritten(int messages) {
         resultListener.callWritten(messages);
     }
 
-    /** Keeps no connection from now on: another process of this relay has its own. */
+    /** Closes idle connections and keeps none from now on: another process of this relay has its own connections. */
     void disableKeepAlive() {
         keepAliveDisabled = true;
         List.copyOf(idleConnections).forEach(HostConnection::close);
     }
 
-    /** So many descriptors are another process's for now; 0 where none are. */
+    /**
+     * Sets how many descriptors another process of this relay uses now, 0 where there is none. At least a quarter of
+     * the configured connections stays available here.
+     */
     void reserveDescriptors(int descriptors) {
         maxConnections = Math.max(1, Math.max(configuredMaxConnections / 4, configuredMaxConnections - descriptors));
     }
 
-    /** A wait that another process of this relay was told. */
+    /** Applies a retry-after delay that a host sent to another process of this relay. */
     void applyRetryAfter(String route, long span) {
         Host host = hosts.get(route);
         if (host != null) {
@@ -463,35 +534,40 @@
         }
     }
 
+    /** The hosts in the list, those that drain included. */
     List<Target> targets() {
         return hosts.values().stream().map(host -> host.target).toList();
     }
 
-    /** How many calls are out; several messages may share one. */
+    /** Number of calls that carry messages, queued ones included; several messages may share one call. */
     int callsInFlight() {
         return (int) callsByAttempt.values().stream().distinct().count();
     }
 
+    /** Number of connections, those being established included. */
     int connections() {
         return connections.size();
     }
 
-    /** How many endpoints are in the list, those that drain too. */
+    /** Number of hosts in the list, those that drain included. */
     int hostCount() {
         return hosts.size();
     }
 
-    /** How the connections stand, for staff. */
+    /** Connection figures for the periodic log line. */
     String connectionSummary() {
         int queued = hosts.values().stream().mapToInt(host -> host.queue.size()).sum();
-        return "connections " + connections.size() + " of " + maxConnections + " (" + idleConnections.size() + " idle), "
-                + queued + " calls without one, " + hostsAwaitingDescriptors.size() + " hosts crowded out";
+        return "connections " + connections.size() + " of " + maxConnections
+                + " (" + idleConnections.size() + " idle), " + queued + " calls without one, "
+                + hostsAwaitingDescriptors.size() + " hosts crowded out";
     }
 
+    /** The current time on the relay's clock. */
     long now() {
         return clock.micros();
     }
 
+    /** Runs a task on the event loop after a delay. */
     Future<?> schedule(long micros, Runnable task) {
         return loop.schedule(task, micros, TimeUnit.MICROSECONDS);
     }
