--- a/src/main/java/drumdeal/relay/HostCall.java
+++ b/src/main/java/drumdeal/relay/HostCall.java
@@ -28,39 +28,55 @@
 import java.util.List;
 import java.util.Map;
 
-/** One call to a host, for one message, for several, or a probe; it knows the table of outcomes. */
+/**
+ * One call to a host: for one message, for a batch of messages, or a probe. It builds the request and translates the
+ * response into the results of its attempts. Unless stated otherwise, times are in microseconds on the relay's
+ * {@link Clock} and durations in microseconds.
+ */
 final class HostCall {
     private static final JsonFactory JSON = new JsonFactory();
     private static final int MAX_RESPONSE_BYTES = 64 << 10;
+    /** Punctuation and member names of one message in a batch. */
     private static final int ITEM_OVERHEAD_BYTES = 40;
+    /** A longer retry-after delay counts as this one, an hour. */
     private static final long MAX_RETRY_AFTER_MILLIS = 3_600_000;
 
+    /** An attempt without a result so far, the time at which it times out, and the timer for that. */
     private record PendingAttempt(Message.Attempt attempt, long deadline, Future<?> timeoutTimer) { }
 
     private final HostClient client;
     private final HostClient.Host host;
     private final long startedAt;
     /**
-     * The call's time is up with that of the first of its messages. Guards against an answer after it: to the host the
-     * call is over by then, so "done" in it delivers none of the others, and they would be lost. Guards also against
-     * hosts that drop what is out of time and answer all the same. It harms where messages with much and with little
-     * time left share a slow call that would yet be answered: the former end with the latter.
+     * The earliest deadline of the call's messages, or when a probe times out. A response to a batch that comes later
+     * is not believed: for the host the call is over by then, so "done" in the response delivers none of the other
+     * messages, and they would be lost. Some hosts also drop messages that are out of time and respond all the same.
+     * The drawback: where messages with much and with little time left share a slow call that would still be answered,
+     * the former time out together with the latter.
      */
     private final long deadline;
+    /** The time from which on the request must not be sent any more. */
     private final long sendDeadline;
+    /** Null for a call that carries messages. */
     private final String probePath;
-    /** Attempts that nothing is known of yet. */
+    /** Attempts without a result so far, in the order in which they are sent; empty for a probe. */
     private final Map<Message.Attempt, PendingAttempt> pendingAttempts = new LinkedHashMap<>();
+    /** True where the call started with more than one message. */
     private final boolean batched;
-    /** How many messages the request holds. */
+    /** Number of messages in the request, set when it is built; 0 for a probe. */
     private int messageCount;
+    /** Null for a call that carries messages. */
     private final Future<?> probeTimer;
+    /** Null until the call has a connection. */
     private HostConnection connection;
+    /** True once the request was written completely; before that the host can't have run the call. */
     private boolean sent;
     private boolean probeEnded;
     private int status;
     private LimitReport loadReport = LimitReport.NONE;
+    /** Delay before the next call that the host asked for, 0 where it asked for none. */
     private long retryAfter;
+    /** True where the host reported that no call slot is free, which says nothing about the limit on calls a second. */
     private boolean slotsTaken;
     private final ByteBuf responseBody = Unpooled.buffer(0, MAX_RESPONSE_BYTES);
 
@@ -72,7 +88,8 @@
         probePath = null;
         probeTimer = null;
         batched = outgoing.size() > 1;
-        sendDeadline = outgoing.stream().mapToLong(HostClient.OutgoingAttempt::sendDeadline).min().orElse(Long.MAX_VALUE);
+        sendDeadline = outgoing.stream().mapToLong(HostClient.OutgoingAttempt::sendDeadline).min()
+                .orElse(Long.MAX_VALUE);
         deadline = outgoing.stream().mapToLong(o -> o.attempt().message.content.deadline()).min().orElse(startedAt);
         for (HostClient.OutgoingAttempt o : outgoing) {
             long span = Math.min(o.timeout(), deadline - startedAt);
@@ -93,7 +110,7 @@
         probeTimer = client.schedule(timeout, () -> abandon(Result.TIMEOUT));
     }
 
-    /** About how many bytes a message takes in a call for several. */
+    /** Approximate size of a message in a batch, in bytes; the body is sent in Base64, four bytes for each three. */
     static int encodedSize(Message message) {
         Message.Content content = message.content;
         int key = content.idempotencyKey() == null ? 0 : content.idempotencyKey().length();
@@ -108,7 +125,7 @@
         return startedAt;
     }
 
-    /** Until when it may begin. */
+    /** The time from which on the request must not be sent any more. */
     long sendDeadline() {
         return sendDeadline;
     }
@@ -117,20 +134,23 @@
         return sent;
     }
 
-    /** True where nothing is known yet of some message of it. */
+    /** True while at least one attempt has no result. */
     boolean hasPendingAttempts() {
         return !pendingAttempts.isEmpty();
     }
 
+    /** Sets the connection on which the call is about to be sent. */
     void assignConnection(HostConnection carrier) {
         connection = carrier;
     }
 
+    /** Called once the request was written completely. */
     void markSent() {
         sent = true;
         client.callWritten(messageCount);
     }
 
+    /** Builds the HTTP request for the attempts that are still pending, or for the probe. */
     FullHttpRequest buildRequest() {
         if (probePath != null) {
             return buildRequest(HttpMethod.GET, probePath, new byte[0]);
@@ -184,7 +204,7 @@
         return bytes.toByteArray();
     }
 
-    /** The head of an answer; nothing of it counts before the answer is whole. */
+    /** Reads the head of the response; it takes effect only when the response is complete. */
     void receiveHead(HttpResponse response) {
         status = response.status().code();
         loadReport = loadReport(response.headers().get(ClientServer.LOAD_REPORT_HEADER));
@@ -192,14 +212,14 @@
         slotsTaken = "1".equals(response.headers().get("X-Line-Busy"));
     }
 
-    /** The first line of an answer: that a single message is delivered holds, whatever follows. */
+    /** Reads the status of the response: 200 means that a single message was delivered, whatever follows. */
     void receiveStatusLine(int code) {
         if (probePath == null && !batched && code == HttpResponseStatus.OK.code()) {
             end(Result.OK, true);
         }
     }
 
-    /** The answer can't be read or doesn't end; the host has run the call. */
+    /** Ends the call after a response that is malformed or does not end: the host has run the call. */
     void endInvalidResponse(int code) {
         loadReport = LimitReport.NONE;
         retryAfter = 0;
@@ -207,7 +227,7 @@
         end(Result.ERROR);
     }
 
-    /** Takes in a piece of the answer's body; false where it is larger than any answer may be. */
+    /** Collects a piece of the response's body; false if the body becomes larger than any response may be. */
     boolean receiveBody(ByteBuf piece) {
         if (responseBody.readableBytes() + piece.readableBytes() > MAX_RESPONSE_BYTES) {
             return false;
@@ -216,7 +236,7 @@
         return true;
     }
 
-    /** The answer is whole. */
+    /** Evaluates the complete response. */
     void complete() {
         if (retryAfter > 0) {
             client.applyRetryAfter(host, retryAfter);
@@ -230,7 +250,7 @@
             end(Result.TIMEOUT);
         } else if (batched && status == 200) {
             applyBatchOutcomes();
-            // Guards against an answer that leaves a message out: it may have run.
+            // A message that the response leaves out may have run.
             end(Result.ERROR);
         } else if (status == 503 && retryAfter == 0 && !slotsTaken && connection.isClosedAfterFirstResponse()) {
             client.connectionRejected(host);
@@ -240,11 +260,15 @@
         }
     }
 
-    /** Guards against an answer that was read before the timers of the same pass ran. */
+    /**
+     * True if the call's time is up. The timers alone do not tell: the event loop may read a response before it runs
+     * the timers that are due.
+     */
     private boolean isPastDeadline() {
         return client.now() >= deadline;
     }
 
+    /** Ends the attempts according to the HTTP status of the response. */
     private void applyOutcome(int code) {
         switch (code) {
             case 200 -> end(Result.OK, true);
@@ -256,6 +280,7 @@
         }
     }
 
+    /** Ends each attempt according to its entry in the response; a response that can't be parsed ends none. */
     private void applyBatchOutcomes() {
         Map<String, String> states = new HashMap<>();
         try (JsonParser parser = JSON.createParser(responseBody.toString(StandardCharsets.UTF_8))) {
@@ -281,6 +306,7 @@
         }
     }
 
+    /** Ends one attempt of a batch according to the state in its entry. */
     private void applyOutcome(Message.Attempt attempt, String state) {
         switch (state) {
             case "done" -> end(attempt, Result.OK, true);
@@ -291,13 +317,13 @@
         }
     }
 
-    /** The connection broke, or ended, before the answer was whole. */
+    /** Ends the call after its connection closed before the response was complete. */
     void connectionLost() {
         client.closeIdle(host);
         end(sent ? Result.RESET : Result.CONNECT_FAILED);
     }
 
-    /** Every attempt that is still open ends alike. */
+    /** Ends all pending attempts, or the probe, with the same result. */
     void end(Result result) {
         end(result, false);
     }
@@ -328,11 +354,11 @@
     }
 
     /**
-     * Stops waiting for one attempt. With the last one the connection closes too: the host must not take a
-     * call for out that nobody waits for.
+     * Stops waiting for one attempt. After the last one the connection is closed too, so that the host does not count
+     * a call as in flight for which nobody waits.
      */
     void abandonAttempt(Message.Attempt attempt, Result result) {
-        // Guards against giving up a call whose answer has come since this pass has read.
+        // The response may have arrived since the event loop last read the connection.
         if (connection != null && pendingAttempts.containsKey(attempt)) {
             connection.readNow();
         }
@@ -346,7 +372,7 @@
         }
     }
 
-    /** Gives the whole call up. What has not left whole never ran. */
+    /** Stops waiting for the whole call. If its request was not written completely, the host did not run it. */
     private void abandon(Result result) {
         if (connection == null) {
             end(client.unqueue(this));
@@ -361,6 +387,7 @@
         connection.abandonCall();
     }
 
+    /** Milliseconds in a header as microseconds; 0 where the header is absent or malformed. */
     private static long parseRetryAfter(String text) {
         if (text == null || !text.matches("\\d{1,9}")) {
             return 0;
@@ -368,7 +395,10 @@
         return Math.min(MAX_RETRY_AFTER_MILLIS, Long.parseLong(text)) * 1000;
     }
 
-    /** Reads a load report such as {@code TEXT x0=0.4, x1=25}; what can't be read counts as not told. */
+    /**
+     * Parses a load report such as {@code TEXT x0=0.4, x1=25}, where {@code x0} is the share of the limit that is left
+     * and {@code x1} the limit in calls a second. Values that are absent or malformed are NaN.
+     */
     static LimitReport loadReport(String text) {
         if (text == null) {
             return LimitReport.NONE;
@@ -387,6 +417,7 @@
         return new LimitReport(left, rate);
     }
 
+    /** A number that is finite and not negative, else NaN. */
     private static double parseNumber(String text) {
         try {
             double value = Double.parseDouble(text.strip());
