--- a/src/main/java/drumdeal/relay/HostConnection.java
+++ b/src/main/java/drumdeal/relay/HostConnection.java
@@ -17,27 +17,37 @@
 import java.util.function.Consumer;
 
 /**
- * One connection to a host; it carries one call at a time and is used again only after a whole answer with
- * nothing behind it.
+ * One connection to a host. It carries one call at a time and is reused only after a complete response that no
+ * further bytes follow. Times are in microseconds on the relay's {@link Clock}, durations in microseconds.
  */
 final class HostConnection extends SimpleChannelInboundHandler<HttpObject> {
-    /** Guards against an answer that begins and never ends: hosts write theirs in one go. */
+    /** Time limit for a response, from its first bytes. Hosts write a response at once: a longer one never ends. */
     private static final long MAX_RESPONSE_MICROS = 500_000;
-    /** Guards against a second copy, or noise, right behind an answer: the next call's would be mixed up with it. */
+    /**
+     * Delay before a connection is reused after a response. A duplicate of the response, or stray bytes right behind
+     * it, would otherwise be taken for the response to the next call.
+     */
     private static final long REUSE_DELAY_MICROS = 2_000;
 
     private final HostClient client;
     private final HostClient.Host host;
     private final EarlyStatusDecoder decoder = new EarlyStatusDecoder();
     private ChannelHandlerContext context;
+    /** The call in progress; null where there is none. */
     private HostCall call;
+    /** True where the host keeps the connection open after the last response. */
     private boolean reusable;
+    /** True while a 1xx response is read, which is not the response to the call. */
     private boolean informational;
+    /** True from the end of a response until everything that was read with it has been checked. */
     private boolean responseComplete;
-    /** Since when the connection is idle, and how long it was so before the call that it carries; 0 for its first. */
+    /** When the last complete response was received; 0 before the first one. */
     private long idleSince;
+    /** How long the connection was idle before the last call was sent; 0 for its first call. */
     private long idleBeforeCall;
+    /** Limits the time of a response, delays the reuse, or ends the idle time; null where none of these runs. */
     private Future<?> timer;
+    /** Number of calls sent on this connection. */
     private int callCount;
 
     HostConnection(HostClient client, HostClient.Host host) {
@@ -49,7 +59,7 @@
         return host;
     }
 
-    /** What the channel's pipeline is made of. */
+    /** The handlers for the channel's pipeline, in order. */
     ChannelHandler[] handlers() {
         return new ChannelHandler[] {new HttpRequestEncoder(), decoder, this};
     }
@@ -59,7 +69,7 @@
         context = ctx;
     }
 
-    /** Writes a call; only its last byte's leaving decides whether it may have run. */
+    /** Sends a call. The host may have run it only once its last byte was written. */
     void send(HostCall next) {
         stopTimer();
         idleBeforeCall = idleTime();
@@ -77,27 +87,28 @@
         });
     }
 
-    /** How long the connection has been idle; 0 where it has not carried a call yet. */
+    /** How long the connection has been idle; 0 before its first response. */
     long idleTime() {
         return idleSince == 0 ? 0 : client.now() - idleSince;
     }
 
-    /** When the last answer came. */
+    /** When the last complete response was received; 0 before the first one. */
     long idleSince() {
         return idleSince;
     }
 
-    /** True where the host closes the connection behind its answer to the first call on it. */
+    /** True if the host closes the connection after its response to the first call, which means that it rejects it. */
     boolean isClosedAfterFirstResponse() {
         return callCount == 1 && !reusable;
     }
 
-    /** How the connection had been used before its call, for staff. */
+    /** How the connection was used before its current call, for the log. */
     String history() {
         return callCount == 1 ? "first call on its connection" : "call " + callCount + " on its connection after "
                 + idleBeforeCall / 1000 + " ms idle";
     }
 
+    /** Closes the connection unless a call is sent on it within this time. */
     void closeAfter(long micros) {
         startTimer(micros, this::close);
     }
@@ -114,26 +125,29 @@
         }
     }
 
-    /** Guards against a connection that is taken for another call before the loop tells of its end. */
+    /**
+     * Closes the connection and removes it from the idle ones at once: it could otherwise be used for another call
+     * before the event loop reports that it is closed.
+     */
     void close() {
         client.removeIdle(this);
         context.close();
     }
 
-    /** False where the host has closed it meanwhile: a call on it would end as one that may have run. */
+    /** False if the host has closed the connection meanwhile: a call on it would end as one that may have run. */
     boolean isUsable() {
         readNow();
         return context.channel().isActive();
     }
 
-    /** Reads what has come so far, without waiting for the loop's next pass. */
+    /** Reads what has been received so far, without waiting for the event loop's next pass. */
     void readNow() {
         if (context.channel().isActive()) {
             ((AbstractNioChannel) context.channel()).unsafe().read();
         }
     }
 
-    /** Closes under a call that the relay itself has given up: nothing of it is to be told any more. */
+    /** Closes the connection after the relay has abandoned its call: no result of the call is reported any more. */
     void abandonCall() {
         call = null;
         close();
@@ -141,12 +155,12 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        // Guards against bytes that nobody asked for: what comes behind them can't be told apart any more.
+        // No call is in progress: a response that was not asked for can't be told from the next one.
         if (call == null) {
             ctx.close();
             return;
         }
-        // Guards against an answer to a request that has not left whole: it has not run.
+        // A response to a request that was not written completely: the host has not run the call.
         if (!call.isSent()) {
             endCallAndClose(HostCall::connectionLost);
             return;
@@ -180,18 +194,19 @@
         }
     }
 
-    /** Guards against an answer whose end can't be known, and against one that leaves HTTP. */
+    /** False for a response whose end is ambiguous, since it has two lengths, and for one that leaves HTTP. */
     private static boolean isFramingValid(HttpResponse response) {
         return !response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
                 && !(response.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
                 && response.headers().contains(HttpHeaderNames.CONTENT_LENGTH));
     }
 
+    /** Ends a call whose response is malformed; only the status, where it could be read, counts. */
     private void endInvalidResponse(HostCall broken) {
         broken.endInvalidResponse(decoder.status());
     }
 
-    /** The connection is of no further use, and its call ends as told. */
+    /** Ends the current call, if there is one, in the given way and closes the connection. */
     private void endCallAndClose(Consumer<HostCall> how) {
         HostCall lost = call;
         call = null;
@@ -205,7 +220,7 @@
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (responseComplete) {
             responseComplete = false;
-            // Guards against what came with the answer and does not belong to it.
+            // Bytes that arrived with the response and do not belong to it would spoil the next one.
             if (reusable && !decoder.hasLeftover()) {
                 int breaks = host.idleGeneration();
                 startTimer(REUSE_DELAY_MICROS, () -> release(breaks));
@@ -213,7 +228,7 @@
                 ctx.close();
             }
         } else if (call == null && decoder.hasLeftover()) {
-            // Guards against half a line that nobody asked for: the next answer would be read as its end.
+            // The start of a line that was not asked for: the next response would be read as the rest of it.
             close();
         } else if (call != null && decoder.status() == EarlyStatusDecoder.UNREADABLE) {
             endCallAndClose(this::endInvalidResponse);
@@ -225,7 +240,10 @@
         }
     }
 
-    /** Guards also against a connection that died with another one while it rested. */
+    /**
+     * Makes the connection available for another call. It is closed if the host's idle connections were closed during
+     * the reuse delay: it may be dead like them.
+     */
     private void release(int breaks) {
         if (breaks != host.idleGeneration()) {
             context.close();
