--- a/src/main/java/drumdeal/relay/EarlyStatusDecoder.java
+++ b/src/main/java/drumdeal/relay/EarlyStatusDecoder.java
@@ -8,39 +8,42 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads answers, and tells what the first line of the awaited one says as soon as that line has come: it holds
- * even where the rest of the head can't be read or never ends.
+ * Decodes HTTP responses and makes the status of the expected response available as soon as its status line has
+ * arrived. The status is valid even if the rest of the head is malformed or never ends.
  */
 final class EarlyStatusDecoder extends HttpResponseDecoder {
-    /** What {@link #status} says before the first line has come, and of one that can't be read. */
+    /** Value of {@link #status} before the status line has arrived. */
     static final int UNKNOWN = 0;
+    /** Value of {@link #status} after a malformed status line. */
     static final int UNREADABLE = -1;
     private static final int MAX_LINE_BYTES = 1024;
     private static final String VERSION_PREFIX = "HTTP/1.";
     private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] (\\d{3})(?: .*)?", Pattern.DOTALL);
 
+    /** What has arrived of the current line of the head. */
     private final StringBuilder line = new StringBuilder();
     private int status;
+    /** True while the head of a 1xx response is read. */
     private boolean skippingInformational;
 
-    /** Another answer is awaited from now on. */
+    /** Prepares for the response to the next request. */
     void expectResponse() {
         line.setLength(0);
         status = UNKNOWN;
         skippingInformational = false;
     }
 
-    /** The status in the first line of the awaited answer; 1xx answers ahead of it don't count. */
+    /** The status of the expected response, {@link #UNKNOWN} or {@link #UNREADABLE}; 1xx responses are skipped. */
     int status() {
         return status;
     }
 
-    /** True where the awaited answer, or a 1xx ahead of it, has begun to come. */
+    /** True once the expected response, or a 1xx response ahead of it, has begun to arrive. */
     boolean hasBegun() {
         return status != UNKNOWN || skippingInformational || !line.isEmpty();
     }
 
-    /** True where bytes are left that belong to no answer read so far. */
+    /** True if bytes have been received that belong to no response decoded so far. */
     boolean hasLeftover() {
         return actualReadableBytes() > 0;
     }
@@ -54,6 +57,7 @@
         super.channelRead(ctx, bytes);
     }
 
+    /** Adds a byte to the current line and evaluates the line once it ends. Empty lines ahead of a head are skipped. */
     private void scanByte(char next) {
         if (next == '\n') {
             String text = line.toString().strip();
@@ -66,7 +70,8 @@
             return;
         }
         line.append(next);
-        boolean started = skippingInformational || VERSION_PREFIX.startsWith(line.substring(0, Math.min(line.length(), VERSION_PREFIX.length())).strip());
+        boolean started = skippingInformational || VERSION_PREFIX.startsWith(
+                line.substring(0, Math.min(line.length(), VERSION_PREFIX.length())).strip());
         if (!started || line.length() > MAX_LINE_BYTES) {
             status = UNREADABLE;
         }
@@ -79,7 +84,10 @@
         status = skippingInformational ? UNKNOWN : code;
     }
 
-    /** Guards against two lengths, of which only one can be true: both stay, for the reader to see. */
+    /**
+     * Keeps both headers of a response that has two lengths, of which only one can be true, so that
+     * {@link HostConnection} rejects it; by default Netty removes {@code Content-Length}.
+     */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) { }
 }
