--- a/src/main/java/drumdeal/relay/Discovery.java
+++ b/src/main/java/drumdeal/relay/Discovery.java
@@ -15,98 +15,125 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps the list of hosts. Every relay of a fleet does so at one service that takes one call after another: each asks
- * seldom and at moments of its own.
+ * Keeps the list of hosts up to date. All relays of a fleet use the same discovery service, which serves one call at a
+ * time. Therefore each relay calls it rarely and at random times.
  *
- * <p>A small fleet watches for changes, from the version known at the start; the whole list is fetched only where no
- * version is known. What is made within 200 ms of a watch's answer counts as told to who watched, heard or not, so a
- * relay has to ask again within the grace of a drain. Where that is too short for one call of each relay, as all were
- * answered in the same moment, nobody watches: each fetches the whole list from time to time, which binds it to what it
- * was told alone.
+ * <p>Relays of a small fleet watch for changes by long polling, starting from the version known at the start. They
+ * fetch the whole list only where no version is known. A change made within 200 ms after the response to a watch counts
+ * as delivered to the relay that watched, whether it received the change or not. So the relay has to call again within
+ * the drain grace. One change answers the watches of all relays at the same moment. If the drain grace is too short for
+ * one call of each relay, the relays do not watch: each fetches the whole list from time to time, and then only what
+ * the responses contained counts as delivered to it.
  */
 final class Discovery {
     /**
-     * Guards against a discovery that falls silent: what is missed counts as told 6 s after that, so a watch has to end,
-     * and to be opened anew and answered, within that span of its first moment. Shorter ones, of a whole fleet, leave
-     * discovery no time for news.
+     * Shortest duration of a watch. Watches of a whole fleet that end sooner leave discovery no time to deliver
+     * changes.
      */
     static final long MIN_WATCH_MILLIS = 2000;
+    /**
+     * Longest duration of a watch. If discovery stops responding, a change that the relay misses counts as delivered
+     * 6 s later. So within 6 s of its start a watch has to end, and the next one has to be opened and answered.
+     */
     static final long MAX_WATCH_MILLIS = 3500;
-    /** How late the end of a watch may come: others that end in the same moment are answered before it. */
+    /** How late the response to a watch may be: discovery may answer others first that end at the same moment. */
     static final long WATCH_RESPONSE_SLACK_MILLIS = 1200;
     /**
-     * Discovery serves one call after another and ends by itself those that it can't get to: one that is given up
-     * before leaves its work there behind, and asking anew each time never comes to an answer.
+     * Timeout for the whole list. Discovery serves one call at a time and itself ends calls that it can't get to.
+     * A call that the relay abandons sooner still costs discovery its work, so a relay that does this each time never
+     * gets a response.
      */
     private static final long FETCH_TIMEOUT_MILLIS = 3000;
-    /** After a failure, twice as long after each further one. */
+    /** Pause after the first failure; it doubles with each further one. */
     private static final long INITIAL_BACKOFF_MILLIS = 400;
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
     /**
-     * From the start of a call that failed to the start of the next one, at most. Whatever is allowed after a failure, a
-     * change counts as told 6 s after discovery had it and could be reached: that leaves a second for the answer.
+     * Longest time from the start of a failed call to the start of the next one. Regardless of earlier failures, a
+     * change counts as delivered 6 s after discovery has it and can be reached; this leaves 1 s for the response.
      */
     private static final long MAX_RETRY_INTERVAL_MILLIS = 5000;
-    /** How long a watch waits for news after a failure: one that falls silent again must leave time for another. */
+    /** Duration of a watch after a failure: short, so that there is time for another one if this one times out too. */
     private static final long RETRY_WATCH_MILLIS = 500;
-    /** What the new address has to tell counts as told 4 s after the signal: there is time for several calls by then. */
+    /**
+     * The list at a new address counts as delivered this long after the signal to reload. That is enough for several
+     * calls.
+     */
     private static final long ADDRESS_CHANGE_LIST_DUE_MILLIS = 4000;
+    /** Longest mean pause between failed calls while the first list from a new address is due. */
     private static final long MAX_ADDRESS_CHANGE_BACKOFF_MILLIS = 800;
-    /** Guards against an agent that answers at once again and again; far below what ends a watch. */
+    /**
+     * Shortest pause between two calls, for an agent that responds at once each time. It is far shorter than any watch.
+     */
     private static final long MIN_PAUSE_MILLIS = 10;
     /**
-     * Guards against a fleet that a change wakes and that all asks again at once; a release makes many changes. At most:
-     * what is made right after an answer counts as told, and has to be heard within the grace of a drain.
+     * Longest mean pause after a change. Without a random pause, all relays of a fleet would call again at once after
+     * each change, and a release makes many changes. The pause is limited because a change made right after a response
+     * counts as delivered and has to be received within the drain grace.
      */
     private static final long MAX_PAUSE_AFTER_CHANGE_MILLIS = 500;
-    /** What is known at the start stands until then; many relays may start together. */
+    /**
+     * Range of the random delay of the first watch, since many relays may start at once, and of a list that is needed
+     * soon. The list known from before stays in use until then.
+     */
     private static final long REQUEST_JITTER_MILLIS = 500;
-    /** What one call takes discovery at the least: whether a fleet is answered within a span goes by it. */
+    /** Shortest time discovery needs for one call, used to estimate how long it takes to answer a whole fleet. */
     private static final long MIN_SERVICE_TIME_MILLIS = 40;
-    /** Between two fetches of the whole list: longer where answers take long, as others wait for theirs then. */
+    /** Shortest pause between two fetches of the whole list, before it is shortened at random. */
     private static final long FETCH_PAUSE_MILLIS = 3000;
+    /** Least ratio of the pause between fetches to the response time: slow responses mean that other relays wait. */
     private static final int PAUSE_TO_RESPONSE_TIME_RATIO = 15;
-    /** Of the span in which a relay has to ask, from one call to the next. */
+    /** Longest interval between fetches, as a share of the interval in which a relay must call discovery. */
     private static final double MAX_FETCH_INTERVAL_RATIO = 0.95;
+    /** Range of the random delay of the first fetch at a new address; relays that watch call there at once. */
     private static final long ADDRESS_CHANGE_JITTER_MILLIS = 1500;
 
-    /** Takes in what discovery tells. */
+    /** Receives what discovery reports. */
     interface Listener {
+        /** A whole list or changes to it; {@code version} is the version of the list after them. */
         void updateTargets(RouteListUpdateType kind, long version, List<Target> targets);
 
-        /** What has to be told now, and is not heard, counts as told in a while, in microseconds. */
+        /**
+         * The list may be outdated: changes that exist now count as delivered after {@code in} microseconds, whether
+         * they have been received or not.
+         */
         void listStale(long in);
     }
 
     private final EventLoop loop;
     private final Agent agent;
     private final Listener listener;
+    /** True where this relay watches for changes, false where it fetches the whole list from time to time. */
     private boolean watchEnabled;
+    /** Mean pause after a change: {@link #MAX_PAUSE_AFTER_CHANGE_MILLIS}, or less where the drain grace is short. */
     private long maxPauseAfterChangeMillis;
-    /** From one call to the next, where nobody watches. */
+    /** Longest time from the start of one fetch to the start of the next one, where the relay does not watch. */
     private long maxFetchIntervalMillis;
-    /** The list of a new address is still to come. */
+    /** True from a change of the address until the first list from there. */
     private boolean awaitingNewAddressList;
     private Future<?> nextRequest;
     private long nextRequestAtNanos;
     private long lastRequestAtNanos;
     private final SplittableRandom random;
     private final JsonFactory json = new JsonFactory();
-    /** The version that the relay goes by; -1 where none is known. */
+    /** The version of the list in use; -1 where none is known. */
     private long version;
-    /** Guards against an answer that can't be read, which asking from the same version would bring again. */
+    /** Set after a response that can't be parsed: a watch from the same version would receive it again. */
     private boolean fullListNeeded;
+    /** True once the listener has been given a list. */
     private boolean listReceived;
+    /** Number of failed calls since the last successful one. */
     private int failures;
 
-    /** Who is asked. */
+    /** Sends requests to discovery's agent, one at a time. */
     interface Agent {
+        /** Sends a request; the handler is called exactly once, later. */
         void request(HttpMethod method, String path, String body, long timeoutMs, AgentClient.ResponseHandler answer);
 
+        /** Uses another address from now on; a request in flight ends without a response. */
         void moveTo(InetSocketAddress next);
     }
 
-    /** Knows a version from before, or -1. */
+    /** Continues from {@code knownVersion}, which is -1 where none is known. */
     Discovery(EventLoop loop, Agent agent, Policy.Settings settings, long knownVersion, Listener listener) {
         this.loop = loop;
         this.listener = listener;
@@ -116,13 +143,19 @@
         applySettings(settings);
     }
 
+    /**
+     * Schedules the first call: at once where no list is known, else at random, for a fetch within four fifths of the
+     * longest interval between fetches.
+     */
     void start() {
-        scheduleRequest(version < 0 ? 0 : randomUpTo(watchEnabled ? REQUEST_JITTER_MILLIS : maxFetchIntervalMillis * 4 / 5));
+        scheduleRequest(version < 0 ? 0
+                : randomUpTo(watchEnabled ? REQUEST_JITTER_MILLIS : maxFetchIntervalMillis * 4 / 5));
     }
 
     /**
-     * Watches at another address from now on; its versions need not be those of the old one. The first call there comes
-     * soon whatever pause was running, but a whole fleet may have been told at once.
+     * Uses another address from now on. Its versions need not be those of the old one. The first call there comes soon,
+     * whatever pause was running, but is delayed at random where relays fetch, since the address may have changed for
+     * the whole fleet at once.
      */
     void moveTo(InetSocketAddress address, Policy.Settings settings) {
         applySettings(settings);
@@ -134,9 +167,10 @@
         scheduleRequest(randomUpTo(watchEnabled ? 0 : ADDRESS_CHANGE_JITTER_MILLIS));
     }
 
-    /** The list is wanted sooner than it would be asked for: what is known does not do for what is held. */
+    /** Brings the next call forward, because no known host serves a destination for which this relay holds messages. */
     void requestSoon() {
-        if (!nextRequest.isDone() && nextRequestAtNanos - loop.ticker().nanoTime() > TimeUnit.MILLISECONDS.toNanos(REQUEST_JITTER_MILLIS)) {
+        if (!nextRequest.isDone() && nextRequestAtNanos - loop.ticker().nanoTime()
+                > TimeUnit.MILLISECONDS.toNanos(REQUEST_JITTER_MILLIS)) {
             scheduleRequest(randomUpTo(REQUEST_JITTER_MILLIS));
         }
     }
@@ -145,7 +179,10 @@
         long turns = settings.fleetSize() * MIN_SERVICE_TIME_MILLIS;
         long grace = TimeUnit.MICROSECONDS.toMillis(settings.rules().drainGraceMicros());
         watchEnabled = turns <= grace;
-        maxPauseAfterChangeMillis = Math.max(MIN_PAUSE_MILLIS, Math.min(MAX_PAUSE_AFTER_CHANGE_MILLIS, (grace - turns) / 2));
+        // A pause lasts up to 1.5 times its mean. With half of the time that the calls of the fleet leave of the grace
+        // as the mean, it ends within the grace.
+        maxPauseAfterChangeMillis = Math.max(MIN_PAUSE_MILLIS,
+                Math.min(MAX_PAUSE_AFTER_CHANGE_MILLIS, (grace - turns) / 2));
         long mustAsk = TimeUnit.MICROSECONDS.toMillis(settings.rules().maxDiscoveryIntervalMicros());
         maxFetchIntervalMillis = mustAsk > 0 ? (long) (mustAsk * MAX_FETCH_INTERVAL_RATIO) : 2 * FETCH_PAUSE_MILLIS;
     }
@@ -155,7 +192,8 @@
         if (version < 0 || fullListNeeded || !watchEnabled) {
             agent.request(HttpMethod.GET, "/api/targets", "", FETCH_TIMEOUT_MILLIS, this::handleResponse);
         } else {
-            long wait = failures > 0 ? RETRY_WATCH_MILLIS : MIN_WATCH_MILLIS + randomUpTo(MAX_WATCH_MILLIS - MIN_WATCH_MILLIS);
+            long wait = failures > 0 ? RETRY_WATCH_MILLIS
+                    : MIN_WATCH_MILLIS + randomUpTo(MAX_WATCH_MILLIS - MIN_WATCH_MILLIS);
             agent.request(HttpMethod.GET, "/api/targets?after=" + version + "&wait_ms=" + wait, "",
                     wait + WATCH_RESPONSE_SLACK_MILLIS, this::handleResponse);
         }
@@ -165,10 +203,12 @@
         long before = version;
         boolean taken = status == 200 && applyResponse(body);
         awaitingNewAddressList &= !taken;
-        // Guards against what a call that fell silent has missed, which counts as told soon: the first one after it need
-        // not wait, as discovery has not turned anything away.
-        long pause = !taken ? status == AgentClient.TIMED_OUT && failures == 0 ? MIN_PAUSE_MILLIS : retryBackoffMillis()
-                : !watchEnabled ? fetchPause() : version > before ? jitter(maxPauseAfterChangeMillis) : MIN_PAUSE_MILLIS;
+        // A change that was missed by a call that timed out counts as delivered soon. The first call after a timeout is
+        // made at once, which is acceptable because discovery has not rejected anything.
+        long pause = !taken
+                ? status == AgentClient.TIMED_OUT && failures == 0 ? MIN_PAUSE_MILLIS : retryBackoffMillis()
+                : !watchEnabled ? fetchPause()
+                : version > before ? jitter(maxPauseAfterChangeMillis) : MIN_PAUSE_MILLIS;
         logFailureOrRecovery(taken, status);
         scheduleRequest(pause);
     }
@@ -181,6 +221,7 @@
         nextRequestAtNanos = loop.ticker().nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
     }
 
+    /** Pause after a failed call: it grows with each failure, up to a limit that depends on when the list is due. */
     private long retryBackoffMillis() {
         long growing = INITIAL_BACKOFF_MILLIS << Math.min(failures, MAX_BACKOFF_DOUBLINGS);
         if (awaitingNewAddressList) {
@@ -194,6 +235,7 @@
         return TimeUnit.NANOSECONDS.toMillis(loop.ticker().nanoTime() - lastRequestAtNanos);
     }
 
+    /** Pause between two fetches in milliseconds, shortened at random by up to a quarter. */
     private long fetchPause() {
         long took = millisSinceRequest();
         long pause = Math.max(MIN_PAUSE_MILLIS, Math.min(maxFetchIntervalMillis - took,
@@ -205,21 +247,26 @@
         return random.nextLong(span + 1);
     }
 
-    /** From half a span to one and a half, so that a fleet that was told together does not ask together. */
+    /**
+     * A random time between half and one and a half times {@code span}, so that relays that received a response at the
+     * same time do not call again at the same time.
+     */
     private long jitter(long span) {
         return span / 2 + randomUpTo(span);
     }
 
-    /** Tells staff when the watch is lost and when it is back: the list is old meanwhile. */
+    /** Logs the first of several failures and the recovery after them: the list may be outdated in between. */
     private void logFailureOrRecovery(boolean taken, int status) {
         if (!taken && failures++ == 0) {
-            Log.write("discovery: no list, " + (status == AgentClient.TIMED_OUT ? "the call fell silent" : "status " + status));
+            Log.write("discovery: no list, "
+                    + (status == AgentClient.TIMED_OUT ? "the call fell silent" : "status " + status));
         } else if (taken && failures > 0) {
             Log.write("discovery: a list again after " + failures + " calls in vain");
             failures = 0;
         }
     }
 
+    /** Passes the list or the changes in a response to the listener; false if the response can't be used. */
     private boolean applyResponse(String body) {
         try (JsonParser parser = json.createParser(body)) {
             parser.nextToken();
@@ -234,7 +281,7 @@
             boolean news = rev > version || !listReceived;
             version = rev;
             fullListNeeded = false;
-            // The first answer tells also where it brings nothing: what was known before is the list.
+            // The first response counts even without changes: it confirms the list that was known before.
             if (news || !all && !targets.isEmpty()) {
                 Log.write("discovery: version " + rev + ", " + targets.size() + (all ? " entries" : " changes"));
                 listener.updateTargets(all ? RouteListUpdateType.FULL : RouteListUpdateType.CHANGES, rev, targets);
