--- a/src/main/java/drumdeal/relay/AgentClient.java
+++ b/src/main/java/drumdeal/relay/AgentClient.java
@@ -24,31 +24,42 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** One kept connection to discovery's agent that carries one request at a time. */
+/**
+ * HTTP client for discovery's agent: one connection that is kept alive and carries one request at a time. Everything
+ * runs on one event loop.
+ */
 final class AgentClient implements Discovery.Agent {
-    /** In place of a status: no whole answer came in time; 0 where the connection ended. */
+    /** In place of an HTTP status: no complete response arrived in time. */
     static final int TIMED_OUT = -1;
     private static final int MAX_RESPONSE_BYTES = 2 << 20;
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
-    /** The agent may close a connection that rests. One that ends so soon under a request has crossed it. */
+    /**
+     * The agent may close an idle connection just as a request is sent on it. If a reused connection ends within this
+     * time after a request, the agent is taken not to have read the request.
+     */
     private static final long CLOSE_RACE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    /** What became of a request; {@code status} is 0 or {@link #TIMED_OUT} where no answer came. */
+    /** Receives the outcome of a request. */
     interface ResponseHandler {
+        /** {@code status} is the HTTP status, 0 where the connection ended, or {@link #TIMED_OUT}. */
         void handle(int status, String body);
     }
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private InetSocketAddress agentAddress;
+    /** The current connection, which may be being established; null where there is none. */
     private Channel channel;
+    /** Handler of the request in flight; null where there is none. */
     private ResponseHandler pendingHandler;
     private Future<?> timeoutTimer;
+    /** Method, path and body of the last request. */
     private HttpMethod method;
     private String path;
     private String body;
-    /** Until when the end of the connection, which has rested, is no answer. */
+    /** If the reused connection ends before this time, the request is sent again. */
     private long resendUntilNanos;
+    /** True where the request was sent on a connection that earlier requests used. */
     private boolean connectionReused;
 
     AgentClient(EventLoop loop, InetSocketAddress agent) {
@@ -66,7 +77,7 @@
                 });
     }
 
-    /** Sends a request; the answer, or the lack of one within the span, is told once and later. */
+    /** Sends a request. The handler is called once, later, with the response or with the reason why there is none. */
     @Override
     public void request(HttpMethod method, String path, String body, long timeoutMs, ResponseHandler answer) {
         if (pendingHandler != null) {
@@ -86,6 +97,7 @@
         }
     }
 
+    /** Builds the HTTP request to send or to resend. */
     private FullHttpRequest request() {
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path,
                 Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
@@ -106,7 +118,7 @@
         });
     }
 
-    /** Goes to another address from now on; a request that has no answer yet gets none. */
+    /** Uses another address from now on; a request in flight ends as one whose connection ended. */
     @Override
     public void moveTo(InetSocketAddress next) {
         agentAddress = next;
@@ -118,13 +130,13 @@
         finish(0, "");
     }
 
-    /** Guards against the end of an earlier connection that would be taken for the end of this one. */
+    /** Resends or ends the request in flight. The end of an earlier connection is ignored. */
     private void connectionLost(Channel ended) {
         if (ended != channel) {
             return;
         }
         channel = null;
-        // A list and a notice may be asked for and told twice.
+        // Resending is safe: a list may be requested twice, and a notice may be sent twice.
         boolean again = pendingHandler != null && connectionReused && System.nanoTime() < resendUntilNanos;
         connectionReused = false;
         if (again) {
@@ -134,7 +146,7 @@
         }
     }
 
-    /** Guards against an agent that fell silent: its late answer must not be taken for the next one's. */
+    /** Ends the request and closes its connection: a late response must not be taken for that to the next request. */
     private void timeOut() {
         Channel silent = channel;
         channel = null;
@@ -142,6 +154,7 @@
         finish(TIMED_OUT, "");
     }
 
+    /** Reports the outcome of the request in flight, if there is one. */
     private void finish(int status, String body) {
         if (pendingHandler != null) {
             ResponseHandler answer = pendingHandler;
@@ -151,6 +164,7 @@
         }
     }
 
+    /** Passes responses on the current connection to the handler. */
     private final class ResponseReader extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
