--- a/src/main/java/drumdeal/relay/Target.java
+++ b/src/main/java/drumdeal/relay/Target.java
@@ -7,10 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A host in discovery's list and the address at which this relay reaches it. */
+/** A host in discovery's list, as the decision module knows it, and the address at which this relay reaches it. */
 record Target(Policy.ListedRoute listed, InetSocketAddress address) {
 
-    /** Reads the entries of a list; one that makes no sense is logged and passed over. */
+    /** Reads the entries of a list; invalid ones are logged and ignored. */
     static List<Target> readAll(JsonReader list) {
         List<Target> targets = new ArrayList<>();
         for (Object json : list.listOrEmpty("targets")) {
@@ -23,6 +23,7 @@
         return targets;
     }
 
+    /** Reads one entry; throws if a member is missing or invalid. */
     private static Target read(JsonReader entry) {
         Policy.Availability availability = switch (entry.text("state")) {
             case "in_service" -> Policy.Availability.LISTED;
