--- a/src/main/java/drumdeal/relay/IdleTimeout.java
+++ b/src/main/java/drumdeal/relay/IdleTimeout.java
@@ -1,46 +1,57 @@
 package drumdeal.relay;
 
 /**
- * How long connections to hosts are kept idle. Guards against hosts, and what lies before them, that drop idle
- * connections long before the time in the settings and say nothing: the next call on each would end as a reset, and a
- * message that may take effect only once with it. They share the way there, so some that broke speak for all; single
- * ones, among many that held as long, do not.
+ * Adapts how long connections to hosts are kept idle. Hosts, or devices on the way to them, may silently drop idle
+ * connections long before the idle time in the settings. The next call on such a connection ends as RESET, and so fails
+ * a message that may take effect only once. All connections share the network path, so some breaks shorten the idle
+ * time of all connections; a single break among many connections that survived as long does not. Times and durations
+ * are in microseconds.
  */
 final class IdleTimeout {
-    /** A connection that broke after it was idle for so short a time was not dropped for that. */
+    /** Shortest idle timeout. A break after a shorter idle time is not put down to the idle time. */
     static final long MIN_IDLE_MICROS = 100_000;
-    /** Part of the connections idle for so long that break where idleness is at fault. */
+    /** From this share of broken connections on, among those idle as long or longer, the idle time is at fault. */
     private static final double MAX_BROKEN_SHARE = 0.1;
-    /** The span for which connections are kept doubles in so long without more that broke; counts halve in it. */
+    /** Without further breaks the timeout doubles in this time. The counts of calls halve in the same time. */
     private static final double DOUBLING_MICROS = 10_000_000;
     private static final int BUCKET_COUNT = 10;
 
-    /** Calls on connections idle for {@link #MIN_IDLE_MICROS}, twice that, and so on: how many were answered, and how many broke. */
+    /**
+     * Decaying count of answered calls by the idle time of their connection before the call. Bucket {@code i} starts at
+     * {@link #MIN_IDLE_MICROS} times two to the power of {@code i}.
+     */
     private final double[] survived = new double[BUCKET_COUNT];
+    /** Decaying count of calls whose connection broke, in the same buckets. */
     private final double[] broken = new double[BUCKET_COUNT];
+    /** When the counts were last decayed. */
     private long decayedAt;
+    /** The timeout at its last reduction, from which it grows since {@link #changedAt}. */
     private long timeoutAtChange;
     private long changedAt;
 
+    /** Starts with the longest timeout. */
     IdleTimeout(long longest, long now) {
         timeoutAtChange = longest;
         changedAt = now;
         decayedAt = now;
     }
 
-    /** How long a connection that falls idle now is kept. */
+    /** How long a connection that becomes idle now is kept; {@code longest} is the limit by the settings. */
     long currentTimeout(long longest, long now) {
         return (long) Math.min(longest, timeoutAtChange * Math.pow(2, (now - changedAt) / DOUBLING_MICROS));
     }
 
-    /** A call was answered on a connection that was idle before. */
+    /** Counts a call that was answered; its connection had been idle for {@code idleFor} before. */
     void survived(long idleFor, long now) {
         if (idleFor > MIN_IDLE_MICROS) {
             recordCall(survived, idleFor, now);
         }
     }
 
-    /** A connection broke under a call after it was idle; true where connections are kept for less time from now on. */
+    /**
+     * Counts a connection that broke under a call after it had been idle for {@code idleFor}. Returns true if the
+     * timeout was reduced: to half of that idle time, or to half of the present timeout where that is shorter.
+     */
     boolean broke(long idleFor, long longest, long now) {
         if (idleFor <= MIN_IDLE_MICROS) {
             return false;
@@ -55,6 +66,7 @@
         return true;
     }
 
+    /** Decays all counts up to now and counts one call. */
     private void recordCall(double[] buckets, long idleFor, long now) {
         double part = Math.pow(2, (decayedAt - now) / DOUBLING_MICROS);
         decayedAt = now;
@@ -65,11 +77,13 @@
         buckets[bucketIndex(idleFor)]++;
     }
 
+    /** The binary logarithm of the idle time in units of {@link #MIN_IDLE_MICROS}, up to the last bucket. */
     private static int bucketIndex(long idleFor) {
-        return Math.min(BUCKET_COUNT - 1, Long.SIZE - 1 - Long.numberOfLeadingZeros(Math.max(1, idleFor / MIN_IDLE_MICROS)));
+        return Math.min(BUCKET_COUNT - 1,
+                Long.SIZE - 1 - Long.numberOfLeadingZeros(Math.max(1, idleFor / MIN_IDLE_MICROS)));
     }
 
-    /** Those of a bucket and of all for longer spans. */
+    /** The sum of a bucket and of all buckets for longer idle times. */
     private static double sumFrom(double[] buckets, int from) {
         double sum = 0;
         for (int i = from; i < BUCKET_COUNT; i++) {
