--- a/src/main/java/drumdeal/relay/AgentClient.java
+++ b/src/main/java/drumdeal/relay/AgentClient.java
@@ -62,9 +62,9 @@
     /** True where the request was sent on a connection that earlier requests used. */
     private boolean connectionReused;
 
-    AgentClient(EventLoop loop, InetSocketAddress agent) {
+    AgentClient(EventLoop loop, InetSocketAddress agentAddress) {
         this.loop = loop;
-        this.agentAddress = agent;
+        this.agentAddress = agentAddress;
         bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
@@ -79,12 +79,12 @@
 
     /** Sends a request. The handler is called once, later, with the response or with the reason why there is none. */
     @Override
-    public void request(HttpMethod method, String path, String body, long timeoutMs, ResponseHandler answer) {
+    public void request(HttpMethod method, String path, String body, long timeoutMillis, ResponseHandler handler) {
         if (pendingHandler != null) {
             throw new IllegalStateException("a request is out");
         }
-        pendingHandler = answer;
-        timeoutTimer = loop.schedule(this::timeOut, timeoutMs, TimeUnit.MILLISECONDS);
+        pendingHandler = handler;
+        timeoutTimer = loop.schedule(this::timeOut, timeoutMillis, TimeUnit.MILLISECONDS);
         this.method = method;
         this.path = path;
         this.body = body;
@@ -107,39 +107,39 @@
     }
 
     private void connect() {
-        ChannelFuture opening = bootstrap.connect(agentAddress);
-        channel = opening.channel();
-        opening.addListener(connected -> {
+        ChannelFuture connectFuture = bootstrap.connect(agentAddress);
+        channel = connectFuture.channel();
+        connectFuture.addListener(connected -> {
             if (connected.isSuccess()) {
-                opening.channel().writeAndFlush(request());
+                connectFuture.channel().writeAndFlush(request());
             } else {
-                connectionLost(opening.channel());
+                connectionLost(connectFuture.channel());
             }
         });
     }
 
     /** Uses another address from now on; a request in flight ends as one whose connection ended. */
     @Override
-    public void moveTo(InetSocketAddress next) {
-        agentAddress = next;
-        Channel old = channel;
+    public void moveTo(InetSocketAddress address) {
+        agentAddress = address;
+        Channel previous = channel;
         channel = null;
-        if (old != null) {
-            old.close();
+        if (previous != null) {
+            previous.close();
         }
         finish(0, "");
     }
 
     /** Resends or ends the request in flight. The end of an earlier connection is ignored. */
-    private void connectionLost(Channel ended) {
-        if (ended != channel) {
+    private void connectionLost(Channel closedChannel) {
+        if (closedChannel != channel) {
             return;
         }
         channel = null;
         // Resending is safe: a list may be requested twice, and a notice may be sent twice.
-        boolean again = pendingHandler != null && connectionReused && System.nanoTime() < resendUntilNanos;
+        boolean resend = pendingHandler != null && connectionReused && System.nanoTime() < resendUntilNanos;
         connectionReused = false;
-        if (again) {
+        if (resend) {
             connect();
         } else {
             finish(0, "");
@@ -148,19 +148,19 @@
 
     /** Ends the request and closes its connection: a late response must not be taken for that to the next request. */
     private void timeOut() {
-        Channel silent = channel;
+        Channel timedOutChannel = channel;
         channel = null;
-        silent.close();
+        timedOutChannel.close();
         finish(TIMED_OUT, "");
     }
 
     /** Reports the outcome of the request in flight, if there is one. */
-    private void finish(int status, String body) {
+    private void finish(int status, String responseBody) {
         if (pendingHandler != null) {
-            ResponseHandler answer = pendingHandler;
+            ResponseHandler handler = pendingHandler;
             pendingHandler = null;
             timeoutTimer.cancel(false);
-            answer.handle(status, body);
+            handler.handle(status, responseBody);
         }
     }
 
--- a/src/main/java/drumdeal/relay/Discovery.java
+++ b/src/main/java/drumdeal/relay/Discovery.java
@@ -90,13 +90,13 @@
     /** Receives what discovery reports. */
     interface Listener {
         /** A whole list or changes to it; {@code version} is the version of the list after them. */
-        void updateTargets(RouteListUpdateType kind, long version, List<Target> targets);
+        void updateTargets(RouteListUpdateType type, long version, List<Target> targets);
 
         /**
-         * The list may be outdated: changes that exist now count as delivered after {@code in} microseconds, whether
+         * The list may be outdated: changes that exist now count as delivered after {@code dueInMicros}, whether
          * they have been received or not.
          */
-        void listStale(long in);
+        void listStale(long dueInMicros);
     }
 
     private final EventLoop loop;
@@ -127,10 +127,11 @@
     /** Sends requests to discovery's agent, one at a time. */
     interface Agent {
         /** Sends a request; the handler is called exactly once, later. */
-        void request(HttpMethod method, String path, String body, long timeoutMs, AgentClient.ResponseHandler answer);
+        void request(HttpMethod method, String path, String body, long timeoutMillis,
+                AgentClient.ResponseHandler handler);
 
         /** Uses another address from now on; a request in flight ends without a response. */
-        void moveTo(InetSocketAddress next);
+        void moveTo(InetSocketAddress address);
     }
 
     /** Continues from {@code knownVersion}, which is -1 where none is known. */
@@ -176,15 +177,16 @@
     }
 
     private void applySettings(Policy.Settings settings) {
-        long turns = settings.fleetSize() * MIN_SERVICE_TIME_MILLIS;
-        long grace = TimeUnit.MICROSECONDS.toMillis(settings.rules().drainGraceMicros());
-        watchEnabled = turns <= grace;
+        long fleetServiceMillis = settings.fleetSize() * MIN_SERVICE_TIME_MILLIS;
+        long drainGraceMillis = TimeUnit.MICROSECONDS.toMillis(settings.rules().drainGraceMicros());
+        watchEnabled = fleetServiceMillis <= drainGraceMillis;
         // A pause lasts up to 1.5 times its mean. With half of the time that the calls of the fleet leave of the grace
         // as the mean, it ends within the grace.
         maxPauseAfterChangeMillis = Math.max(MIN_PAUSE_MILLIS,
-                Math.min(MAX_PAUSE_AFTER_CHANGE_MILLIS, (grace - turns) / 2));
-        long mustAsk = TimeUnit.MICROSECONDS.toMillis(settings.rules().maxDiscoveryIntervalMicros());
-        maxFetchIntervalMillis = mustAsk > 0 ? (long) (mustAsk * MAX_FETCH_INTERVAL_RATIO) : 2 * FETCH_PAUSE_MILLIS;
+                Math.min(MAX_PAUSE_AFTER_CHANGE_MILLIS, (drainGraceMillis - fleetServiceMillis) / 2));
+        long requiredIntervalMillis = TimeUnit.MICROSECONDS.toMillis(settings.rules().maxDiscoveryIntervalMicros());
+        maxFetchIntervalMillis = requiredIntervalMillis > 0
+                ? (long) (requiredIntervalMillis * MAX_FETCH_INTERVAL_RATIO) : 2 * FETCH_PAUSE_MILLIS;
     }
 
     private void sendRequest() {
@@ -192,43 +194,43 @@
         if (version < 0 || fullListNeeded || !watchEnabled) {
             agent.request(HttpMethod.GET, "/api/targets", "", FETCH_TIMEOUT_MILLIS, this::handleResponse);
         } else {
-            long wait = failures > 0 ? RETRY_WATCH_MILLIS
+            long watchMillis = failures > 0 ? RETRY_WATCH_MILLIS
                     : MIN_WATCH_MILLIS + randomUpTo(MAX_WATCH_MILLIS - MIN_WATCH_MILLIS);
-            agent.request(HttpMethod.GET, "/api/targets?after=" + version + "&wait_ms=" + wait, "",
-                    wait + WATCH_RESPONSE_SLACK_MILLIS, this::handleResponse);
+            agent.request(HttpMethod.GET, "/api/targets?after=" + version + "&wait_ms=" + watchMillis, "",
+                    watchMillis + WATCH_RESPONSE_SLACK_MILLIS, this::handleResponse);
         }
     }
 
     private void handleResponse(int status, String body) {
-        long before = version;
-        boolean taken = status == 200 && applyResponse(body);
-        awaitingNewAddressList &= !taken;
+        long previousVersion = version;
+        boolean applied = status == 200 && applyResponse(body);
+        awaitingNewAddressList &= !applied;
         // A change that was missed by a call that timed out counts as delivered soon. The first call after a timeout is
         // made at once, which is acceptable because discovery has not rejected anything.
-        long pause = !taken
+        long pauseMillis = !applied
                 ? status == AgentClient.TIMED_OUT && failures == 0 ? MIN_PAUSE_MILLIS : retryBackoffMillis()
                 : !watchEnabled ? fetchPause()
-                : version > before ? jitter(maxPauseAfterChangeMillis) : MIN_PAUSE_MILLIS;
-        logFailureOrRecovery(taken, status);
-        scheduleRequest(pause);
+                : version > previousVersion ? jitter(maxPauseAfterChangeMillis) : MIN_PAUSE_MILLIS;
+        logFailureOrRecovery(applied, status);
+        scheduleRequest(pauseMillis);
     }
 
-    private void scheduleRequest(long ms) {
+    private void scheduleRequest(long delayMillis) {
         if (nextRequest != null) {
             nextRequest.cancel(false);
         }
-        nextRequest = loop.schedule(this::sendRequest, ms, TimeUnit.MILLISECONDS);
-        nextRequestAtNanos = loop.ticker().nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
+        nextRequest = loop.schedule(this::sendRequest, delayMillis, TimeUnit.MILLISECONDS);
+        nextRequestAtNanos = loop.ticker().nanoTime() + TimeUnit.MILLISECONDS.toNanos(delayMillis);
     }
 
     /** Pause after a failed call: it grows with each failure, up to a limit that depends on when the list is due. */
     private long retryBackoffMillis() {
-        long growing = INITIAL_BACKOFF_MILLIS << Math.min(failures, MAX_BACKOFF_DOUBLINGS);
+        long backoffMillis = INITIAL_BACKOFF_MILLIS << Math.min(failures, MAX_BACKOFF_DOUBLINGS);
         if (awaitingNewAddressList) {
-            return jitter(Math.min(MAX_ADDRESS_CHANGE_BACKOFF_MILLIS, growing));
+            return jitter(Math.min(MAX_ADDRESS_CHANGE_BACKOFF_MILLIS, backoffMillis));
         }
-        long longest = Math.max(MIN_PAUSE_MILLIS, MAX_RETRY_INTERVAL_MILLIS - millisSinceRequest());
-        return Math.min(jitter(growing), longest / 2 + randomUpTo(longest / 2));
+        long maxPauseMillis = Math.max(MIN_PAUSE_MILLIS, MAX_RETRY_INTERVAL_MILLIS - millisSinceRequest());
+        return Math.min(jitter(backoffMillis), maxPauseMillis / 2 + randomUpTo(maxPauseMillis / 2));
     }
 
     private long millisSinceRequest() {
@@ -237,30 +239,30 @@
 
     /** Pause between two fetches in milliseconds, shortened at random by up to a quarter. */
     private long fetchPause() {
-        long took = millisSinceRequest();
-        long pause = Math.max(MIN_PAUSE_MILLIS, Math.min(maxFetchIntervalMillis - took,
-                Math.max(FETCH_PAUSE_MILLIS, PAUSE_TO_RESPONSE_TIME_RATIO * took)));
-        return pause * 3 / 4 + randomUpTo(pause / 4);
+        long responseMillis = millisSinceRequest();
+        long pauseMillis = Math.max(MIN_PAUSE_MILLIS, Math.min(maxFetchIntervalMillis - responseMillis,
+                Math.max(FETCH_PAUSE_MILLIS, PAUSE_TO_RESPONSE_TIME_RATIO * responseMillis)));
+        return pauseMillis * 3 / 4 + randomUpTo(pauseMillis / 4);
     }
 
-    private long randomUpTo(long span) {
-        return random.nextLong(span + 1);
+    private long randomUpTo(long max) {
+        return random.nextLong(max + 1);
     }
 
     /**
-     * A random time between half and one and a half times {@code span}, so that relays that received a response at the
+     * A random time between half and one and a half times {@code mean}, so that relays that received a response at the
      * same time do not call again at the same time.
      */
-    private long jitter(long span) {
-        return span / 2 + randomUpTo(span);
+    private long jitter(long mean) {
+        return mean / 2 + randomUpTo(mean);
     }
 
     /** Logs the first of several failures and the recovery after them: the list may be outdated in between. */
-    private void logFailureOrRecovery(boolean taken, int status) {
-        if (!taken && failures++ == 0) {
+    private void logFailureOrRecovery(boolean applied, int status) {
+        if (!applied && failures++ == 0) {
             Log.write("discovery: no list, "
                     + (status == AgentClient.TIMED_OUT ? "the call fell silent" : "status " + status));
-        } else if (taken && failures > 0) {
+        } else if (applied && failures > 0) {
             Log.write("discovery: a list again after " + failures + " calls in vain");
             failures = 0;
         }
@@ -271,20 +273,22 @@
         try (JsonParser parser = json.createParser(body)) {
             parser.nextToken();
             JsonReader list = JsonReader.ofObject("list", JsonReader.readValue(parser));
-            long rev = list.integer("rev");
-            boolean all = list.booleanOrFalse("all");
+            long receivedVersion = list.integer("rev");
+            boolean wholeList = list.booleanOrFalse("all");
             List<Target> targets = Target.readAll(list);
-            if (rev < version) {
-                Log.write("discovery: version " + rev + " is older than " + version + ", which stands");
+            if (receivedVersion < version) {
+                Log.write("discovery: version " + receivedVersion + " is older than " + version + ", which stands");
                 return false;
             }
-            boolean news = rev > version || !listReceived;
-            version = rev;
+            boolean changed = receivedVersion > version || !listReceived;
+            version = receivedVersion;
             fullListNeeded = false;
             // The first response counts even without changes: it confirms the list that was known before.
-            if (news || !all && !targets.isEmpty()) {
-                Log.write("discovery: version " + rev + ", " + targets.size() + (all ? " entries" : " changes"));
-                listener.updateTargets(all ? RouteListUpdateType.FULL : RouteListUpdateType.CHANGES, rev, targets);
+            if (changed || !wholeList && !targets.isEmpty()) {
+                Log.write("discovery: version " + receivedVersion + ", " + targets.size()
+                        + (wholeList ? " entries" : " changes"));
+                listener.updateTargets(wholeList ? RouteListUpdateType.FULL : RouteListUpdateType.CHANGES,
+                        receivedVersion, targets);
             }
             listReceived = true;
             return true;
--- a/src/main/java/drumdeal/relay/EarlyStatusDecoder.java
+++ b/src/main/java/drumdeal/relay/EarlyStatusDecoder.java
@@ -49,30 +49,30 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object bytes) throws Exception {
-        ByteBuf buffer = (ByteBuf) bytes;
-        for (int at = buffer.readerIndex(); at < buffer.writerIndex() && status == UNKNOWN; at++) {
-            scanByte((char) (buffer.getByte(at) & 0xff));
+    public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
+        ByteBuf buffer = (ByteBuf) message;
+        for (int index = buffer.readerIndex(); index < buffer.writerIndex() && status == UNKNOWN; index++) {
+            scanByte((char) (buffer.getByte(index) & 0xff));
         }
-        super.channelRead(ctx, bytes);
+        super.channelRead(ctx, message);
     }
 
     /** Adds a byte to the current line and evaluates the line once it ends. Empty lines ahead of a head are skipped. */
     private void scanByte(char next) {
         if (next == '\n') {
-            String text = line.toString().strip();
+            String completeLine = line.toString().strip();
             line.setLength(0);
             if (skippingInformational) {
-                skippingInformational = !text.isEmpty();
-            } else if (!text.isEmpty()) {
-                parseStatusLine(text);
+                skippingInformational = !completeLine.isEmpty();
+            } else if (!completeLine.isEmpty()) {
+                parseStatusLine(completeLine);
             }
             return;
         }
         line.append(next);
-        boolean started = skippingInformational || VERSION_PREFIX.startsWith(
+        boolean plausible = skippingInformational || VERSION_PREFIX.startsWith(
                 line.substring(0, Math.min(line.length(), VERSION_PREFIX.length())).strip());
-        if (!started || line.length() > MAX_LINE_BYTES) {
+        if (!plausible || line.length() > MAX_LINE_BYTES) {
             status = UNREADABLE;
         }
     }
--- a/src/main/java/drumdeal/relay/HostCall.java
+++ b/src/main/java/drumdeal/relay/HostCall.java
@@ -90,11 +90,12 @@
         batched = outgoing.size() > 1;
         sendDeadline = outgoing.stream().mapToLong(HostClient.OutgoingAttempt::sendDeadline).min()
                 .orElse(Long.MAX_VALUE);
-        deadline = outgoing.stream().mapToLong(o -> o.attempt().message.content.deadline()).min().orElse(startedAt);
-        for (HostClient.OutgoingAttempt o : outgoing) {
-            long span = Math.min(o.timeout(), deadline - startedAt);
-            Future<?> timeout = client.schedule(span, () -> abandonAttempt(o.attempt(), Result.TIMEOUT));
-            pendingAttempts.put(o.attempt(), new PendingAttempt(o.attempt(), startedAt + span, timeout));
+        deadline = outgoing.stream().mapToLong(next -> next.attempt().message.content.deadline()).min()
+                .orElse(startedAt);
+        for (HostClient.OutgoingAttempt next : outgoing) {
+            long timeout = Math.min(next.timeout(), deadline - startedAt);
+            Future<?> timer = client.schedule(timeout, () -> abandonAttempt(next.attempt(), Result.TIMEOUT));
+            pendingAttempts.put(next.attempt(), new PendingAttempt(next.attempt(), startedAt + timeout, timer));
         }
     }
 
@@ -140,8 +141,8 @@
     }
 
     /** Sets the connection on which the call is about to be sent. */
-    void assignConnection(HostConnection carrier) {
-        connection = carrier;
+    void assignConnection(HostConnection assigned) {
+        connection = assigned;
     }
 
     /** Called once the request was written completely. */
@@ -168,8 +169,8 @@
                 request.headers().set(ClientServer.IDEMPOTENCY_KEY_HEADER, content.idempotencyKey());
             }
         }
-        long until = pendingAttempts.values().stream().mapToLong(PendingAttempt::deadline).max().orElse(0);
-        request.headers().set(ClientServer.BUDGET_HEADER, Math.max(0, until - client.now()) / 1000);
+        long latestDeadline = pendingAttempts.values().stream().mapToLong(PendingAttempt::deadline).max().orElse(0);
+        request.headers().set(ClientServer.BUDGET_HEADER, Math.max(0, latestDeadline - client.now()) / 1000);
         return request;
     }
 
@@ -282,7 +283,7 @@
 
     /** Ends each attempt according to its entry in the response; a response that can't be parsed ends none. */
     private void applyBatchOutcomes() {
-        Map<String, String> states = new HashMap<>();
+        Map<String, String> statesByCallId = new HashMap<>();
         try (JsonParser parser = JSON.createParser(responseBody.toString(StandardCharsets.UTF_8))) {
             parser.nextToken();
             if (!(JsonReader.readValue(parser) instanceof List<?> entries)) {
@@ -290,7 +291,7 @@
             }
             for (Object json : entries) {
                 JsonReader entry = JsonReader.ofObject("answer", json);
-                if (states.put(entry.text("id"), entry.text("state")) != null) {
+                if (statesByCallId.put(entry.text("id"), entry.text("state")) != null) {
                     throw new JsonDataException("a message is named twice");
                 }
             }
@@ -302,7 +303,7 @@
             return;
         }
         for (Message.Attempt attempt : new ArrayList<>(pendingAttempts.keySet())) {
-            applyOutcome(attempt, states.getOrDefault(attempt.message.content.callId(), "failed"));
+            applyOutcome(attempt, statesByCallId.getOrDefault(attempt.message.content.callId(), "failed"));
         }
     }
 
@@ -328,20 +329,20 @@
         end(result, false);
     }
 
-    private void end(Result result, boolean over) {
+    private void end(Result result, boolean messageFinished) {
         if (probePath != null) {
             endProbe(result);
         }
         for (Message.Attempt attempt : new ArrayList<>(pendingAttempts.keySet())) {
-            end(attempt, result, over);
+            end(attempt, result, messageFinished);
         }
     }
 
-    private void end(Message.Attempt attempt, Result result, boolean over) {
-        PendingAttempt part = pendingAttempts.remove(attempt);
-        if (part != null) {
-            part.timeoutTimer().cancel(false);
-            client.attemptEnded(attempt, result, over, retryAfter, loadReport);
+    private void end(Message.Attempt attempt, Result result, boolean messageFinished) {
+        PendingAttempt pending = pendingAttempts.remove(attempt);
+        if (pending != null) {
+            pending.timeoutTimer().cancel(false);
+            client.attemptEnded(attempt, result, messageFinished, retryAfter, loadReport);
         }
     }
 
@@ -403,18 +404,18 @@
         if (text == null) {
             return LimitReport.NONE;
         }
-        double left = Double.NaN;
-        double rate = Double.NaN;
+        double remainingShare = Double.NaN;
+        double ratePerSecond = Double.NaN;
         for (String pair : text.strip().replaceFirst("^TEXT\\s", "").split(",")) {
-            String[] halves = pair.strip().split("=", 2);
-            double value = halves.length < 2 ? Double.NaN : parseNumber(halves[1]);
-            if (halves[0].equals("x0")) {
-                left = value;
-            } else if (halves[0].equals("x1")) {
-                rate = value;
+            String[] nameAndValue = pair.strip().split("=", 2);
+            double value = nameAndValue.length < 2 ? Double.NaN : parseNumber(nameAndValue[1]);
+            if (nameAndValue[0].equals("x0")) {
+                remainingShare = value;
+            } else if (nameAndValue[0].equals("x1")) {
+                ratePerSecond = value;
             }
         }
-        return new LimitReport(left, rate);
+        return new LimitReport(remainingShare, ratePerSecond);
     }
 
     /** A number that is finite and not negative, else NaN. */
--- a/src/main/java/drumdeal/relay/HostClient.java
+++ b/src/main/java/drumdeal/relay/HostClient.java
@@ -43,16 +43,18 @@
     /** Receives the results of attempts and probes. */
     interface ResultListener {
         /**
-         * An attempt ended. {@code over} is true where its message needs neither another attempt nor a notice.
-         * {@code wait} is the retry-after delay that the host sent, 0 where it sent none.
+         * An attempt ended. {@code messageFinished} is true where its message needs neither another attempt nor a
+         * notice. {@code retryAfter} is the delay before the next call that the host asked for, 0 where it asked for
+         * none.
          */
-        void attemptEnded(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report);
+        void attemptEnded(Message.Attempt attempt, Result result, boolean messageFinished, long retryAfter,
+                LimitReport limitReport);
 
         /**
-         * A probe ended. {@code wait} is the retry-after delay that the host sent, 0 where it sent none;
-         * {@code elapsed} is the time since the probe was started.
+         * A probe ended. {@code retryAfter} is the delay before the next call that the host asked for, 0 where it asked
+         * for none; {@code elapsed} is the time since the probe was started.
          */
-        void probeEnded(String route, Result result, long wait, long elapsed, LimitReport report);
+        void probeEnded(String route, Result result, long retryAfter, long elapsed, LimitReport limitReport);
 
         /** The request of a call was written completely; {@code messages} is 0 for a probe. */
         void callWritten(int messages);
@@ -93,10 +95,10 @@
          */
         private int idleGeneration;
 
-        private Host(Target target, RetryAfter wait, int batch) {
+        private Host(Target target, RetryAfter retryAfter, int maxBatchSize) {
             this.target = target;
-            this.retryAfter = wait;
-            this.maxBatchSize = batch;
+            this.retryAfter = retryAfter;
+            this.maxBatchSize = maxBatchSize;
         }
 
         int idleGeneration() {
@@ -160,10 +162,10 @@
     /** Hosts whose calls wait for another connection to close, because the limit on connections is reached. */
     private final Set<Host> hostsAwaitingDescriptors = new LinkedHashSet<>();
 
-    HostClient(EventLoop loop, Clock clock, Config config, ResultListener results) {
+    HostClient(EventLoop loop, Clock clock, Config config, ResultListener listener) {
         this.loop = loop;
         this.clock = clock;
-        this.resultListener = results;
+        this.resultListener = listener;
         configuredMaxConnections = config.maxHostConnections();
         maxConnections = configuredMaxConnections;
         bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
@@ -190,37 +192,37 @@
      * Applies a list of hosts, or changes to it. From now on no call is sent to hosts that drain or are removed;
      * a list that is not of type {@code CHANGES} removes the hosts it does not contain.
      */
-    void updateTargets(RouteListUpdateType kind, List<Target> targets) {
-        Set<String> named = new HashSet<>();
+    void updateTargets(RouteListUpdateType type, List<Target> targets) {
+        Set<String> routesInList = new HashSet<>();
         for (Target target : targets) {
-            named.add(target.listed().route());
+            routesInList.add(target.listed().route());
             updateHost(target);
         }
-        if (kind != RouteListUpdateType.CHANGES) {
-            hosts.values().stream().filter(host -> !named.contains(host.route())).toList()
+        if (type != RouteListUpdateType.CHANGES) {
+            hosts.values().stream().filter(host -> !routesInList.contains(host.route())).toList()
                     .forEach(this::remove);
         }
     }
 
     private void updateHost(Target target) {
-        Host old = hosts.get(target.listed().route());
+        Host existing = hosts.get(target.listed().route());
         boolean removed = target.listed().availability() == Policy.Availability.REMOVED;
-        if (old != null && !removed && old.isSameEndpoint(target)) {
-            old.target = target;
-            if (!old.isListed()) {
-                stopSending(old);
+        if (existing != null && !removed && existing.isSameEndpoint(target)) {
+            existing.target = target;
+            if (!existing.isListed()) {
+                stopSending(existing);
             }
             return;
         }
-        if (old != null) {
-            remove(old);
+        if (existing != null) {
+            remove(existing);
         }
         if (!removed) {
             Policy.DestinationKind kind = kinds.get(target.listed().kind());
-            boolean apart = kind != null && kind.hasPerRouteLimits();
-            RetryAfter wait = apart ? old == null ? new RetryAfter() : old.retryAfter
+            boolean hasOwnLimits = kind != null && kind.hasPerRouteLimits();
+            RetryAfter retryAfter = hasOwnLimits ? existing == null ? new RetryAfter() : existing.retryAfter
                     : retryAfterByDestination.computeIfAbsent(target.listed().destination(), d -> new RetryAfter());
-            hosts.put(target.listed().route(), new Host(target, wait, kind == null ? 1 : kind.maxBatchSize()));
+            hosts.put(target.listed().route(), new Host(target, retryAfter, kind == null ? 1 : kind.maxBatchSize()));
         }
     }
 
@@ -250,16 +252,16 @@
             return;
         }
         List<OutgoingAttempt> batch = new ArrayList<>();
-        int bytes = 0;
+        int batchBytes = 0;
         for (OutgoingAttempt next : outgoing) {
             int size = HostCall.encodedSize(next.attempt().message);
-            if (!batch.isEmpty() && (batch.size() >= host.maxBatchSize || bytes + size > MAX_BODY_BYTES)) {
+            if (!batch.isEmpty() && (batch.size() >= host.maxBatchSize || batchBytes + size > MAX_BODY_BYTES)) {
                 startBatch(host, batch);
                 batch = new ArrayList<>();
-                bytes = 0;
+                batchBytes = 0;
             }
             batch.add(next);
-            bytes += size;
+            batchBytes += size;
         }
         startBatch(host, batch);
     }
@@ -310,11 +312,11 @@
     /** Sends a call on an idle connection, or queues it and connects. */
     private void start(HostCall call) {
         Host host = call.host();
-        for (HostConnection last = host.idleConnections.pollLast(); last != null;
-                last = host.idleConnections.pollLast()) {
-            idleConnections.remove(last);
-            if (last.isUsable()) {
-                dispatch(last, call);
+        for (HostConnection connection = host.idleConnections.pollLast(); connection != null;
+                connection = host.idleConnections.pollLast()) {
+            idleConnections.remove(connection);
+            if (connection.isUsable()) {
+                dispatch(connection, call);
                 return;
             }
         }
@@ -374,15 +376,15 @@
     /** Removes a closed connection and connects for calls that waited for a connection to close. */
     private void connectionClosed(HostConnection connection) {
         if (connections.remove(connection)) {
-            Host own = connection.host();
-            own.connectionCount--;
-            if (!own.queue.isEmpty() && own.connectionCount == 0) {
-                connect(own);
+            Host host = connection.host();
+            host.connectionCount--;
+            if (!host.queue.isEmpty() && host.connectionCount == 0) {
+                connect(host);
             }
-            for (Host host : List.copyOf(hostsAwaitingDescriptors)) {
-                hostsAwaitingDescriptors.remove(host);
-                for (int missing = host.queue.size() - host.pendingConnects; missing > 0; missing--) {
-                    connect(host);
+            for (Host waitingHost : List.copyOf(hostsAwaitingDescriptors)) {
+                hostsAwaitingDescriptors.remove(waitingHost);
+                for (int missing = waitingHost.queue.size() - waitingHost.pendingConnects; missing > 0; missing--) {
+                    connect(waitingHost);
                 }
             }
         }
@@ -438,17 +440,18 @@
         return idleTimeout.currentTimeout(maxIdleMicros, clock.micros());
     }
 
-    /** A call was answered; {@code rest} is how long its connection had been idle before. */
-    void idleConnectionSurvived(long rest) {
-        idleTimeout.survived(rest, clock.micros());
+    /** A call was answered; {@code idleMicros} is how long its connection had been idle before. */
+    void idleConnectionSurvived(long idleMicros) {
+        idleTimeout.survived(idleMicros, clock.micros());
     }
 
-    /** A connection broke under its call, before any response; {@code rest} is how long it had been idle before. */
-    void idleConnectionBroke(long rest) {
-        if (idleTimeout.broke(rest, maxIdleMicros, clock.micros())) {
-            long kept = currentIdleTimeout();
-            Log.write("a connection broke after " + rest / 1000 + " ms idle, they are kept for " + kept / 1000 + " ms");
-            idleConnections.stream().filter(connection -> connection.idleTime() > kept).toList()
+    /** A connection broke under its call, before any response, after it had been idle for {@code idleMicros}. */
+    void idleConnectionBroke(long idleMicros) {
+        if (idleTimeout.broke(idleMicros, maxIdleMicros, clock.micros())) {
+            long timeout = currentIdleTimeout();
+            Log.write("a connection broke after " + idleMicros / 1000 + " ms idle, they are kept for "
+                    + timeout / 1000 + " ms");
+            idleConnections.stream().filter(connection -> connection.idleTime() > timeout).toList()
                     .forEach(HostConnection::close);
         }
     }
@@ -484,8 +487,8 @@
      * Sends nothing for a time to any host of the destination, or to this host alone where its kind has limits per
      * route.
      */
-    void applyRetryAfter(Host host, long span) {
-        host.retryAfter.until = Math.max(host.retryAfter.until, clock.micros() + span);
+    void applyRetryAfter(Host host, long delay) {
+        host.retryAfter.until = Math.max(host.retryAfter.until, clock.micros() + delay);
     }
 
     /** Cancels one attempt, if it is still in flight. */
@@ -497,14 +500,16 @@
     }
 
     /** Called by {@link HostCall} when one of its attempts has ended. */
-    void attemptEnded(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report) {
+    void attemptEnded(Message.Attempt attempt, Result result, boolean messageFinished, long retryAfter,
+            LimitReport limitReport) {
         callsByAttempt.remove(attempt);
-        resultListener.attemptEnded(attempt, result, over, wait, report);
+        resultListener.attemptEnded(attempt, result, messageFinished, retryAfter, limitReport);
     }
 
     /** Called by {@link HostCall} when a probe has ended. */
-    void probeEnded(HostCall call, Result result, long wait, LimitReport report) {
-        resultListener.probeEnded(call.host().route(), result, wait, clock.micros() - call.startedAt(), report);
+    void probeEnded(HostCall call, Result result, long retryAfter, LimitReport limitReport) {
+        resultListener.probeEnded(call.host().route(), result, retryAfter, clock.micros() - call.startedAt(),
+                limitReport);
     }
 
     /** Called by {@link HostCall} when its request was written completely. */
@@ -527,10 +532,10 @@
     }
 
     /** Applies a retry-after delay that a host sent to another process of this relay. */
-    void applyRetryAfter(String route, long span) {
+    void applyRetryAfter(String route, long delay) {
         Host host = hosts.get(route);
         if (host != null) {
-            applyRetryAfter(host, span);
+            applyRetryAfter(host, delay);
         }
     }
 
@@ -568,7 +573,7 @@
     }
 
     /** Runs a task on the event loop after a delay. */
-    Future<?> schedule(long micros, Runnable task) {
-        return loop.schedule(task, micros, TimeUnit.MICROSECONDS);
+    Future<?> schedule(long delay, Runnable task) {
+        return loop.schedule(task, delay, TimeUnit.MICROSECONDS);
     }
 }
--- a/src/main/java/drumdeal/relay/HostConnection.java
+++ b/src/main/java/drumdeal/relay/HostConnection.java
@@ -78,8 +78,8 @@
         reusable = false;
         decoder.expectResponse();
         next.assignConnection(this);
-        context.writeAndFlush(next.buildRequest()).addListener(sent -> {
-            if (sent.isSuccess()) {
+        context.writeAndFlush(next.buildRequest()).addListener(written -> {
+            if (written.isSuccess()) {
                 next.markSent();
             } else {
                 context.close();
@@ -184,12 +184,12 @@
             if (!call.receiveBody(content.content())) {
                 endCallAndClose(this::endInvalidResponse);
             } else if (content instanceof LastHttpContent) {
-                HostCall done = call;
+                HostCall completedCall = call;
                 call = null;
                 responseComplete = true;
                 idleSince = client.now();
                 client.idleConnectionSurvived(idleBeforeCall);
-                done.complete();
+                completedCall.complete();
             }
         }
     }
@@ -202,16 +202,16 @@
     }
 
     /** Ends a call whose response is malformed; only the status, where it could be read, counts. */
-    private void endInvalidResponse(HostCall broken) {
-        broken.endInvalidResponse(decoder.status());
+    private void endInvalidResponse(HostCall endedCall) {
+        endedCall.endInvalidResponse(decoder.status());
     }
 
     /** Ends the current call, if there is one, in the given way and closes the connection. */
-    private void endCallAndClose(Consumer<HostCall> how) {
-        HostCall lost = call;
+    private void endCallAndClose(Consumer<HostCall> ending) {
+        HostCall endedCall = call;
         call = null;
-        if (lost != null) {
-            how.accept(lost);
+        if (endedCall != null) {
+            ending.accept(endedCall);
         }
         context.close();
     }
@@ -222,8 +222,8 @@
             responseComplete = false;
             // Bytes that arrived with the response and do not belong to it would spoil the next one.
             if (reusable && !decoder.hasLeftover()) {
-                int breaks = host.idleGeneration();
-                startTimer(REUSE_DELAY_MICROS, () -> release(breaks));
+                int generation = host.idleGeneration();
+                startTimer(REUSE_DELAY_MICROS, () -> release(generation));
             } else {
                 ctx.close();
             }
@@ -244,8 +244,8 @@
      * Makes the connection available for another call. It is closed if the host's idle connections were closed during
      * the reuse delay: it may be dead like them.
      */
-    private void release(int breaks) {
-        if (breaks != host.idleGeneration()) {
+    private void release(int generation) {
+        if (generation != host.idleGeneration()) {
             context.close();
         } else if (context.channel().isActive()) {
             client.release(this);
--- a/src/main/java/drumdeal/relay/IdleTimeout.java
+++ b/src/main/java/drumdeal/relay/IdleTimeout.java
@@ -30,64 +30,64 @@
     private long changedAt;
 
     /** Starts with the longest timeout. */
-    IdleTimeout(long longest, long now) {
-        timeoutAtChange = longest;
+    IdleTimeout(long maxTimeout, long now) {
+        timeoutAtChange = maxTimeout;
         changedAt = now;
         decayedAt = now;
     }
 
-    /** How long a connection that becomes idle now is kept; {@code longest} is the limit by the settings. */
-    long currentTimeout(long longest, long now) {
-        return (long) Math.min(longest, timeoutAtChange * Math.pow(2, (now - changedAt) / DOUBLING_MICROS));
+    /** How long a connection that becomes idle now is kept; {@code maxTimeout} is the limit by the settings. */
+    long currentTimeout(long maxTimeout, long now) {
+        return (long) Math.min(maxTimeout, timeoutAtChange * Math.pow(2, (now - changedAt) / DOUBLING_MICROS));
     }
 
-    /** Counts a call that was answered; its connection had been idle for {@code idleFor} before. */
-    void survived(long idleFor, long now) {
-        if (idleFor > MIN_IDLE_MICROS) {
-            recordCall(survived, idleFor, now);
+    /** Counts a call that was answered; its connection had been idle for {@code idleMicros} before. */
+    void survived(long idleMicros, long now) {
+        if (idleMicros > MIN_IDLE_MICROS) {
+            recordCall(survived, idleMicros, now);
         }
     }
 
     /**
-     * Counts a connection that broke under a call after it had been idle for {@code idleFor}. Returns true if the
+     * Counts a connection that broke under a call after it had been idle for {@code idleMicros}. Returns true if the
      * timeout was reduced: to half of that idle time, or to half of the present timeout where that is shorter.
      */
-    boolean broke(long idleFor, long longest, long now) {
-        if (idleFor <= MIN_IDLE_MICROS) {
+    boolean broke(long idleMicros, long maxTimeout, long now) {
+        if (idleMicros <= MIN_IDLE_MICROS) {
             return false;
         }
-        recordCall(broken, idleFor, now);
-        double bad = sumFrom(broken, bucketIndex(idleFor));
-        if (bad < MAX_BROKEN_SHARE * (bad + sumFrom(survived, bucketIndex(idleFor)))) {
+        recordCall(broken, idleMicros, now);
+        double brokenCount = sumFrom(broken, bucketIndex(idleMicros));
+        if (brokenCount < MAX_BROKEN_SHARE * (brokenCount + sumFrom(survived, bucketIndex(idleMicros)))) {
             return false;
         }
-        timeoutAtChange = Math.max(MIN_IDLE_MICROS, Math.min(currentTimeout(longest, now), idleFor) / 2);
+        timeoutAtChange = Math.max(MIN_IDLE_MICROS, Math.min(currentTimeout(maxTimeout, now), idleMicros) / 2);
         changedAt = now;
         return true;
     }
 
     /** Decays all counts up to now and counts one call. */
-    private void recordCall(double[] buckets, long idleFor, long now) {
-        double part = Math.pow(2, (decayedAt - now) / DOUBLING_MICROS);
+    private void recordCall(double[] counts, long idleMicros, long now) {
+        double decay = Math.pow(2, (decayedAt - now) / DOUBLING_MICROS);
         decayedAt = now;
         for (int i = 0; i < BUCKET_COUNT; i++) {
-            survived[i] *= part;
-            broken[i] *= part;
+            survived[i] *= decay;
+            broken[i] *= decay;
         }
-        buckets[bucketIndex(idleFor)]++;
+        counts[bucketIndex(idleMicros)]++;
     }
 
     /** The binary logarithm of the idle time in units of {@link #MIN_IDLE_MICROS}, up to the last bucket. */
-    private static int bucketIndex(long idleFor) {
+    private static int bucketIndex(long idleMicros) {
         return Math.min(BUCKET_COUNT - 1,
-                Long.SIZE - 1 - Long.numberOfLeadingZeros(Math.max(1, idleFor / MIN_IDLE_MICROS)));
+                Long.SIZE - 1 - Long.numberOfLeadingZeros(Math.max(1, idleMicros / MIN_IDLE_MICROS)));
     }
 
     /** The sum of a bucket and of all buckets for longer idle times. */
-    private static double sumFrom(double[] buckets, int from) {
+    private static double sumFrom(double[] counts, int firstBucket) {
         double sum = 0;
-        for (int i = from; i < BUCKET_COUNT; i++) {
-            sum += buckets[i];
+        for (int i = firstBucket; i < BUCKET_COUNT; i++) {
+            sum += counts[i];
         }
         return sum;
     }
