--- a/src/main/java/drumdeal/relay/AgentClient.java
+++ b/src/main/java/drumdeal/relay/AgentClient.java
@@ -81,7 +81,7 @@
     @Override
     public void request(HttpMethod method, String path, String body, long timeoutMillis, ResponseHandler handler) {
         if (pendingHandler != null) {
-            throw new IllegalStateException("a request is out");
+            throw new IllegalStateException("a request is in flight already");
         }
         pendingHandler = handler;
         timeoutTimer = loop.schedule(this::timeOut, timeoutMillis, TimeUnit.MILLISECONDS);
--- a/src/main/java/drumdeal/relay/Discovery.java
+++ b/src/main/java/drumdeal/relay/Discovery.java
@@ -260,10 +260,10 @@
     /** Logs the first of several failures and the recovery after them: the list may be outdated in between. */
     private void logFailureOrRecovery(boolean applied, int status) {
         if (!applied && failures++ == 0) {
-            Log.write("discovery: no list, "
-                    + (status == AgentClient.TIMED_OUT ? "the call fell silent" : "status " + status));
+            Log.write("discovery: no list received, retrying: "
+                    + (status == AgentClient.TIMED_OUT ? "the call timed out" : "status " + status));
         } else if (applied && failures > 0) {
-            Log.write("discovery: a list again after " + failures + " calls in vain");
+            Log.write("discovery: list received again after " + failures + " failed calls");
             failures = 0;
         }
     }
@@ -277,7 +277,8 @@
             boolean wholeList = list.booleanOrFalse("all");
             List<Target> targets = Target.readAll(list);
             if (receivedVersion < version) {
-                Log.write("discovery: version " + receivedVersion + " is older than " + version + ", which stands");
+                Log.write("discovery: version " + receivedVersion + " is older than " + version
+                        + ", the response is ignored");
                 return false;
             }
             boolean changed = receivedVersion > version || !listReceived;
--- a/src/main/java/drumdeal/relay/HostCall.java
+++ b/src/main/java/drumdeal/relay/HostCall.java
@@ -287,19 +287,20 @@
         try (JsonParser parser = JSON.createParser(responseBody.toString(StandardCharsets.UTF_8))) {
             parser.nextToken();
             if (!(JsonReader.readValue(parser) instanceof List<?> entries)) {
-                throw new JsonDataException("no array");
+                throw new JsonDataException("not an array");
             }
             for (Object json : entries) {
                 JsonReader entry = JsonReader.ofObject("answer", json);
                 if (statesByCallId.put(entry.text("id"), entry.text("state")) != null) {
-                    throw new JsonDataException("a message is named twice");
+                    throw new JsonDataException("two entries for one message");
                 }
             }
             if (parser.nextToken() != null) {
-                throw new JsonDataException("more than an array");
+                throw new JsonDataException("data after the array");
             }
         } catch (IOException | JsonDataException e) {
-            Log.write("host " + host.route() + ": an answer can't be read: " + e.getMessage());
+            Log.write("host " + host.route() + ": invalid response to a batch, its attempts end as ERROR: "
+                    + e.getMessage());
             return;
         }
         for (Message.Attempt attempt : new ArrayList<>(pendingAttempts.keySet())) {
@@ -380,8 +381,8 @@
             return;
         }
         if (sent) {
-            Log.write("no answer: " + host.route() + " for " + (client.now() - startedAt) / 1000 + " ms, "
-                    + connection.history());
+            Log.write("no response, closing the connection: host " + host.route() + " after "
+                    + (client.now() - startedAt) / 1000 + " ms, " + connection.history());
         }
         end(sent ? result : Result.CONNECT_FAILED);
         client.closeIdle(host, startedAt);
@@ -424,7 +425,7 @@
             double value = Double.parseDouble(text.strip());
             return Double.isFinite(value) && value >= 0 ? value : Double.NaN;
         } catch (NumberFormatException e) {
-            Log.write("a load report can't be read: " + text);
+            Log.write("ignored an invalid number in a load report: " + text);
             return Double.NaN;
         }
     }
--- a/src/main/java/drumdeal/relay/HostClient.java
+++ b/src/main/java/drumdeal/relay/HostClient.java
@@ -422,7 +422,8 @@
         long now = clock.micros();
         host.connectionLimitedUntil = now + CONNECTION_LIMIT_HOLD_MICROS;
         if (connectionLimitedUntilByKind.put(host.kind(), now + CONNECTION_LIMIT_HOLD_MICROS * fleetSize) == null) {
-            Log.write("connections to hosts of kind " + host.kind() + " are scarce and let go for others");
+            Log.write("hosts of kind " + host.kind()
+                    + " reject new connections; connections to them are closed soon after use");
         }
         idleConnections.stream().filter(connection -> connection.host().kind().equals(host.kind()))
                 .forEach(connection -> connection.closeAfter(LIMITED_IDLE_TIMEOUT_MICROS));
@@ -449,7 +450,7 @@
     void idleConnectionBroke(long idleMicros) {
         if (idleTimeout.broke(idleMicros, maxIdleMicros, clock.micros())) {
             long timeout = currentIdleTimeout();
-            Log.write("a connection broke after " + idleMicros / 1000 + " ms idle, they are kept for "
+            Log.write("a connection broke after " + idleMicros / 1000 + " ms idle; idle connections are now kept for "
                     + timeout / 1000 + " ms");
             idleConnections.stream().filter(connection -> connection.idleTime() > timeout).toList()
                     .forEach(HostConnection::close);
@@ -564,7 +565,7 @@
         int queued = hosts.values().stream().mapToInt(host -> host.queue.size()).sum();
         return "connections " + connections.size() + " of " + maxConnections
                 + " (" + idleConnections.size() + " idle), " + queued + " calls without one, "
-                + hostsAwaitingDescriptors.size() + " hosts crowded out";
+                + hostsAwaitingDescriptors.size() + " hosts waiting for a descriptor";
     }
 
     /** The current time on the relay's clock. */
--- a/src/main/java/drumdeal/relay/Target.java
+++ b/src/main/java/drumdeal/relay/Target.java
@@ -17,7 +17,7 @@
             try {
                 targets.add(read(JsonReader.ofObject("targets", json)));
             } catch (JsonDataException | IllegalArgumentException e) {
-                Log.write("discovery: an entry is passed over: " + e.getMessage());
+                Log.write("discovery: ignored an invalid entry: " + e.getMessage());
             }
         }
         return targets;
