--- a/src/main/java/drumdeal/relay/AgentClient.java
+++ b/src/main/java/drumdeal/relay/AgentClient.java
@@ -31,6 +31,8 @@
 final class AgentClient implements Discovery.Agent {
     /** In place of an HTTP status: no complete response arrived in time. */
     static final int TIMED_OUT = -1;
+    /** In place of an HTTP status: the connection failed or ended before the response was complete. */
+    static final int CONNECTION_LOST = 0;
     private static final int MAX_RESPONSE_BYTES = 2 << 20;
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
     /**
@@ -41,7 +43,7 @@
 
     /** Receives the outcome of a request. */
     interface ResponseHandler {
-        /** {@code status} is the HTTP status, 0 where the connection ended, or {@link #TIMED_OUT}. */
+        /** {@code status} is the HTTP status, {@link #CONNECTION_LOST} or {@link #TIMED_OUT}. */
         void handle(int status, String body);
     }
 
@@ -127,7 +129,7 @@
         if (previous != null) {
             previous.close();
         }
-        finish(0, "");
+        finish(CONNECTION_LOST, "");
     }
 
     /** Resends or ends the request in flight. The end of an earlier connection is ignored. */
@@ -142,7 +144,7 @@
         if (resend) {
             connect();
         } else {
-            finish(0, "");
+            finish(CONNECTION_LOST, "");
         }
     }
 
