--- a/src/main/java/drumdeal/relay/AgentClient.java
+++ b/src/main/java/drumdeal/relay/AgentClient.java
@@ -37,7 +37,7 @@
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
     /**
      * The agent may close an idle connection just as a request is sent on it. If a reused connection ends within this
-     * time after a request, the agent is taken not to have read the request.
+     * time after a request, this is assumed to have happened, and the request is sent again on a new connection.
      */
     private static final long CLOSE_RACE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
@@ -50,7 +50,7 @@
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private InetSocketAddress agentAddress;
-    /** The current connection, which may be being established; null where there is none. */
+    /** The current connection, possibly not established yet; null where there is none. */
     private Channel channel;
     /** Handler of the request in flight; null where there is none. */
     private ResponseHandler pendingHandler;
--- a/src/main/java/drumdeal/relay/Discovery.java
+++ b/src/main/java/drumdeal/relay/Discovery.java
@@ -62,7 +62,8 @@
     /** Longest mean pause between failed calls while the first list from a new address is due. */
     private static final long MAX_ADDRESS_CHANGE_BACKOFF_MILLIS = 800;
     /**
-     * Shortest pause between two calls, for an agent that responds at once each time. It is far shorter than any watch.
+     * Shortest pause between two calls: an agent that responds at once each time is not called in a tight loop. It is
+     * far shorter than any watch.
      */
     private static final long MIN_PAUSE_MILLIS = 10;
     /**
@@ -110,8 +111,11 @@
     private long maxFetchIntervalMillis;
     /** True from a change of the address until the first list from there. */
     private boolean awaitingNewAddressList;
+    /** The scheduled call; done once it has started. */
     private Future<?> nextRequest;
+    /** When the next call is due, on the event loop's ticker. */
     private long nextRequestAtNanos;
+    /** When the last call was started, on the event loop's ticker. */
     private long lastRequestAtNanos;
     private final SplittableRandom random;
     private final JsonFactory json = new JsonFactory();
@@ -145,8 +149,8 @@
     }
 
     /**
-     * Schedules the first call: at once where no list is known, else at random, for a fetch within four fifths of the
-     * longest interval between fetches.
+     * Schedules the first call: at once where no list is known, else after a random delay. A fetch is delayed by up to
+     * four fifths of the longest interval between fetches.
      */
     void start() {
         scheduleRequest(version < 0 ? 0
@@ -176,6 +180,7 @@
         }
     }
 
+    /** Decides whether to watch or to fetch, and for which intervals. */
     private void applySettings(Policy.Settings settings) {
         long fleetServiceMillis = settings.fleetSize() * MIN_SERVICE_TIME_MILLIS;
         long drainGraceMillis = TimeUnit.MICROSECONDS.toMillis(settings.rules().drainGraceMicros());
@@ -189,6 +194,7 @@
                 ? (long) (requiredIntervalMillis * MAX_FETCH_INTERVAL_RATIO) : 2 * FETCH_PAUSE_MILLIS;
     }
 
+    /** Fetches the whole list, or opens a watch from the current version. */
     private void sendRequest() {
         lastRequestAtNanos = loop.ticker().nanoTime();
         if (version < 0 || fullListNeeded || !watchEnabled) {
@@ -201,6 +207,7 @@
         }
     }
 
+    /** Applies a response, or notes the failure, and schedules the next call. */
     private void handleResponse(int status, String body) {
         long previousVersion = version;
         boolean applied = status == 200 && applyResponse(body);
@@ -215,6 +222,7 @@
         scheduleRequest(pauseMillis);
     }
 
+    /** Schedules the next call in place of the one scheduled before. */
     private void scheduleRequest(long delayMillis) {
         if (nextRequest != null) {
             nextRequest.cancel(false);
@@ -245,6 +253,7 @@
         return pauseMillis * 3 / 4 + randomUpTo(pauseMillis / 4);
     }
 
+    /** A random number from 0 to {@code max}, both included. */
     private long randomUpTo(long max) {
         return random.nextLong(max + 1);
     }
--- a/src/main/java/drumdeal/relay/HostCall.java
+++ b/src/main/java/drumdeal/relay/HostCall.java
@@ -36,7 +36,7 @@
 final class HostCall {
     private static final JsonFactory JSON = new JsonFactory();
     private static final int MAX_RESPONSE_BYTES = 64 << 10;
-    /** Punctuation and member names of one message in a batch. */
+    /** Allowance for the punctuation and the member names of one message in a batch. */
     private static final int ITEM_OVERHEAD_BYTES = 40;
     /** A longer retry-after delay counts as this one, an hour. */
     private static final long MAX_RETRY_AFTER_MILLIS = 3_600_000;
@@ -49,8 +49,8 @@
     private final long startedAt;
     /**
      * The earliest deadline of the call's messages, or when a probe times out. A response to a batch that comes later
-     * is not believed: for the host the call is over by then, so "done" in the response delivers none of the other
-     * messages, and they would be lost. Some hosts also drop messages that are out of time and respond all the same.
+     * is ignored: for the host the call is over by then, so "done" in the response delivers none of the other messages,
+     * and they would be lost. Some hosts also drop messages that are out of time and respond all the same.
      * The drawback: where messages with much and with little time left share a slow call that would still be answered,
      * the former time out together with the latter.
      */
@@ -122,6 +122,7 @@
         return host;
     }
 
+    /** When the call was created; it may wait for a connection after that. */
     long startedAt() {
         return startedAt;
     }
@@ -131,6 +132,7 @@
         return sendDeadline;
     }
 
+    /** True once the request was written completely. */
     boolean isSent() {
         return sent;
     }
@@ -220,7 +222,10 @@
         }
     }
 
-    /** Ends the call after a response that is malformed or does not end: the host has run the call. */
+    /**
+     * Ends the call after a response that is malformed or does not end: the host has run the call. {@code code} is the
+     * status if the status line could be read.
+     */
     void endInvalidResponse(int code) {
         loadReport = LimitReport.NONE;
         retryAfter = 0;
--- a/src/main/java/drumdeal/relay/HostClient.java
+++ b/src/main/java/drumdeal/relay/HostClient.java
@@ -204,6 +204,7 @@
         }
     }
 
+    /** Adds, updates, replaces or removes the host of one list entry. */
     private void updateHost(Target target) {
         Host existing = hosts.get(target.listed().route());
         boolean removed = target.listed().availability() == Policy.Availability.REMOVED;
@@ -463,6 +464,7 @@
         idleConnections.remove(connection);
     }
 
+    /** Sends a call on a connection, unless it must not be sent any more. */
     private void dispatch(HostConnection connection, HostCall call) {
         // While the call waited for a connection, its send deadline may have passed, or its destination may have asked
         // this relay to wait.
--- a/src/main/java/drumdeal/relay/HostConnection.java
+++ b/src/main/java/drumdeal/relay/HostConnection.java
@@ -194,7 +194,7 @@
         }
     }
 
-    /** False for a response whose end is ambiguous, since it has two lengths, and for one that leaves HTTP. */
+    /** False for a response whose end is ambiguous, since it has two lengths, and for one that switches protocols. */
     private static boolean isFramingValid(HttpResponse response) {
         return !response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
                 && !(response.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
--- a/src/main/java/drumdeal/relay/IdleTimeout.java
+++ b/src/main/java/drumdeal/relay/IdleTimeout.java
@@ -8,7 +8,7 @@
  * are in microseconds.
  */
 final class IdleTimeout {
-    /** Shortest idle timeout. A break after a shorter idle time is not put down to the idle time. */
+    /** Shortest idle timeout. A break after this idle time or less is not attributed to the idle time. */
     static final long MIN_IDLE_MICROS = 100_000;
     /** From this share of broken connections on, among those idle as long or longer, the idle time is at fault. */
     private static final double MAX_BROKEN_SHARE = 0.1;
@@ -27,6 +27,7 @@
     private long decayedAt;
     /** The timeout at its last reduction, from which it grows since {@link #changedAt}. */
     private long timeoutAtChange;
+    /** When the timeout was last reduced, or else the start. */
     private long changedAt;
 
     /** Starts with the longest timeout. */
@@ -50,7 +51,8 @@
 
     /**
      * Counts a connection that broke under a call after it had been idle for {@code idleMicros}. Returns true if the
-     * timeout was reduced: to half of that idle time, or to half of the present timeout where that is shorter.
+     * timeout was reduced: to half of that idle time, or to half of the present timeout where that is shorter, but not
+     * below {@link #MIN_IDLE_MICROS}.
      */
     boolean broke(long idleMicros, long maxTimeout, long now) {
         if (idleMicros <= MIN_IDLE_MICROS) {
