--- a/src/main/java/drumdeal/relay/AgentClient.java
+++ b/src/main/java/drumdeal/relay/AgentClient.java
@@ -24,36 +24,49 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** One kept connection to discovery's agent that carries one request at a time. */
+/**
+ * HTTP client for discovery's agent: one connection that is kept alive and carries one request at a time. Everything
+ * runs on one event loop.
+ */
 final class AgentClient implements Discovery.Agent {
-    /** In place of a status: no whole answer came in time; 0 where the connection ended. */
+    /** In place of an HTTP status: no complete response arrived in time. */
     static final int TIMED_OUT = -1;
+    /** In place of an HTTP status: the connection failed or ended before the response was complete. */
+    static final int CONNECTION_LOST = 0;
     private static final int MAX_RESPONSE_BYTES = 2 << 20;
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
-    /** The agent may close a connection that rests. One that ends so soon under a request has crossed it. */
+    /**
+     * The agent may close an idle connection just as a request is sent on it. If a reused connection ends within this
+     * time after a request, this is assumed to have happened, and the request is sent again on a new connection.
+     */
     private static final long CLOSE_RACE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    /** What became of a request; {@code status} is 0 or {@link #TIMED_OUT} where no answer came. */
+    /** Receives the outcome of a request. */
     interface ResponseHandler {
+        /** {@code status} is the HTTP status, {@link #CONNECTION_LOST} or {@link #TIMED_OUT}. */
         void handle(int status, String body);
     }
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private InetSocketAddress agentAddress;
+    /** The current connection, possibly not established yet; null where there is none. */
     private Channel channel;
+    /** Handler of the request in flight; null where there is none. */
     private ResponseHandler pendingHandler;
     private Future<?> timeoutTimer;
+    /** Method, path and body of the last request. */
     private HttpMethod method;
     private String path;
     private String body;
-    /** Until when the end of the connection, which has rested, is no answer. */
+    /** If the reused connection ends before this time, the request is sent again. */
     private long resendUntilNanos;
+    /** True where the request was sent on a connection that earlier requests used. */
     private boolean connectionReused;
 
-    AgentClient(EventLoop loop, InetSocketAddress agent) {
+    AgentClient(EventLoop loop, InetSocketAddress agentAddress) {
         this.loop = loop;
-        this.agentAddress = agent;
+        this.agentAddress = agentAddress;
         bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
@@ -66,14 +79,14 @@
                 });
     }
 
-    /** Sends a request; the answer, or the lack of one within the span, is told once and later. */
+    /** Sends a request. The handler is called once, later, with the response or with the reason why there is none. */
     @Override
-    public void request(HttpMethod method, String path, String body, long timeoutMs, ResponseHandler answer) {
+    public void request(HttpMethod method, String path, String body, long timeoutMillis, ResponseHandler handler) {
         if (pendingHandler != null) {
-            throw new IllegalStateException("a request is out");
+            throw new IllegalStateException("a request is in flight already");
         }
-        pendingHandler = answer;
-        timeoutTimer = loop.schedule(this::timeOut, timeoutMs, TimeUnit.MILLISECONDS);
+        pendingHandler = handler;
+        timeoutTimer = loop.schedule(this::timeOut, timeoutMillis, TimeUnit.MILLISECONDS);
         this.method = method;
         this.path = path;
         this.body = body;
@@ -86,6 +99,7 @@
         }
     }
 
+    /** Builds the HTTP request to send or to resend. */
     private FullHttpRequest request() {
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path,
                 Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
@@ -95,62 +109,64 @@
     }
 
     private void connect() {
-        ChannelFuture opening = bootstrap.connect(agentAddress);
-        channel = opening.channel();
-        opening.addListener(connected -> {
+        ChannelFuture connectFuture = bootstrap.connect(agentAddress);
+        channel = connectFuture.channel();
+        connectFuture.addListener(connected -> {
             if (connected.isSuccess()) {
-                opening.channel().writeAndFlush(request());
+                connectFuture.channel().writeAndFlush(request());
             } else {
-                connectionLost(opening.channel());
+                connectionLost(connectFuture.channel());
             }
         });
     }
 
-    /** Goes to another address from now on; a request that has no answer yet gets none. */
+    /** Uses another address from now on; a request in flight ends as one whose connection ended. */
     @Override
-    public void moveTo(InetSocketAddress next) {
-        agentAddress = next;
-        Channel old = channel;
+    public void moveTo(InetSocketAddress address) {
+        agentAddress = address;
+        Channel previous = channel;
         channel = null;
-        if (old != null) {
-            old.close();
+        if (previous != null) {
+            previous.close();
         }
-        finish(0, "");
+        finish(CONNECTION_LOST, "");
     }
 
-    /** Guards against the end of an earlier connection that would be taken for the end of this one. */
-    private void connectionLost(Channel ended) {
-        if (ended != channel) {
+    /** Resends or ends the request in flight. The end of an earlier connection is ignored. */
+    private void connectionLost(Channel closedChannel) {
+        if (closedChannel != channel) {
             return;
         }
         channel = null;
-        // A list and a notice may be asked for and told twice.
-        boolean again = pendingHandler != null && connectionReused && System.nanoTime() < resendUntilNanos;
+        // Resending is safe: a list may be requested twice, and a notice may be sent twice.
+        boolean resend = pendingHandler != null && connectionReused && System.nanoTime() < resendUntilNanos;
         connectionReused = false;
-        if (again) {
+        if (resend) {
             connect();
         } else {
-            finish(0, "");
+            finish(CONNECTION_LOST, "");
         }
     }
 
-    /** Guards against an agent that fell silent: its late answer must not be taken for the next one's. */
+    /** Ends the request and closes its connection: a late response must not be taken for that to the next request. */
     private void timeOut() {
-        Channel silent = channel;
+        Channel timedOutChannel = channel;
         channel = null;
-        silent.close();
+        timedOutChannel.close();
         finish(TIMED_OUT, "");
     }
 
-    private void finish(int status, String body) {
+    /** Reports the outcome of the request in flight, if there is one. */
+    private void finish(int status, String responseBody) {
         if (pendingHandler != null) {
-            ResponseHandler answer = pendingHandler;
+            ResponseHandler handler = pendingHandler;
             pendingHandler = null;
             timeoutTimer.cancel(false);
-            answer.handle(status, body);
+            handler.handle(status, responseBody);
         }
     }
 
+    /** Passes responses on the current connection to the handler. */
     private final class ResponseReader extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
