--- a/src/main/java/drumdeal/relay/Engine.java
+++ b/src/main/java/drumdeal/relay/Engine.java
@@ -18,14 +18,22 @@
 import java.util.function.Function;
 
 /**
- * Drives the decision module: gathers what has come in into rounds and carries out what the module answers.
- * It owns the table of messages and takes no decision of its own. Everything runs on one event loop.
+ * Drives the decision module: collects events into rounds, passes each round to the module and carries out the
+ * actions that the module chooses. The engine owns the table of messages and takes no decision of its own.
+ * All its methods run on one event loop.
  */
-final class Engine implements Policy.Actions, HostClient.ResultListener, Discovery.Listener, PredecessorLink.TakeoverHandler {
-    /** When a message that the module has left open past its deadline is ended: in time for its notice. */
+final class Engine
+        implements Policy.Actions, HostClient.ResultListener, Discovery.Listener, PredecessorLink.TakeoverHandler {
+    /**
+     * How long after its deadline a message that the module has left open is ended. The notice of its end then still
+     * reaches the platform in time.
+     */
     private static final long OVERDUE_GRACE_MICROS = 200_000;
+    /** When a client whose message was not accepted may submit it again. */
     private static final long RETRY_AFTER_MICROS = 1_000_000;
-    /** How long passes may take while messages are still taken on; clients wait 400 ms for their answer. */
+    /**
+     * How long a request may have lain unread and still be accepted. Clients wait 400 ms for their response.
+     */
     private static final long MAX_READ_DELAY_MICROS = 400_000;
     private static final long COUNTERS_LOG_INTERVAL_MILLIS = 2000;
     private static final long ROUTE_STATE_WRITE_INTERVAL_MILLIS = 1000;
@@ -39,27 +47,40 @@
     private final NoticeSender noticeSender;
     private final RequestClassRegistry requestClasses;
     private final DeadlineMargin deadlineMargin = new DeadlineMargin();
+    /** Every destination that a route list has named since the start of the process. */
     private final Set<Integer> knownDestinations = new HashSet<>();
+    /** Messages that are not settled, by their number in this process's journal, oldest first. */
     private final Map<Long, Message> messagesByNumber = new LinkedHashMap<>();
     private final Map<String, Message> messagesByCallId = new HashMap<>();
+    /** Attempts that the current round starts; they are sent at its end, those of one route together. */
     private final Map<String, List<HostClient.OutgoingAttempt>> outgoingByRoute = new LinkedHashMap<>();
     private final IntervalCounters counters = new IntervalCounters();
     private final Stats stats = new Stats();
     private Policy.Settings settings;
+    /** From the first event of a round until the round runs. */
     private long roundDelayMicros;
+    /** Events for the next round, in order of arrival. */
     private List<Event> pendingEvents = new ArrayList<>();
+    /** Messages accepted since the last round; their clients are answered at the end of the next one. */
     private List<Message> acceptedThisRound = new ArrayList<>();
     private long nextNumber;
+    /** Messages whose end is not decided yet. */
     private int openMessageCount;
     private int attemptsInFlight;
     private boolean roundScheduled;
-    /** Another process takes the decisions. */
+    /** True while another process takes the decisions; events are then kept for a later round. */
     private boolean decisionsSuspended;
+    /** True once this process is about to end and starts no more attempts. */
     private boolean newAttemptsStopped;
+    /** The process that takes over from this one; null until it listens for clients. */
     private SuccessorLink successor;
+    /** Version of the last route list; -1 where there is none. */
     private long listVersion = -1;
+    /** True once there is a route list, from discovery or from before the start. */
     private boolean ready;
+    /** True once discovery itself has sent a list, so that destinations not in it are unknown. */
     private boolean listReceived;
+    /** Makes discovery fetch the list sooner than scheduled. */
     private Runnable listRequester = () -> { };
 
     Engine(EventLoop loop, Clock clock, Config config, Journal journal, Function<Policy.Settings, Policy> module) {
@@ -71,18 +92,19 @@
         this.journal = journal;
         policy = module.apply(config.settings());
         hostClient = new HostClient(loop, clock, config, this);
-        noticeSender = new NoticeSender(loop, new AgentClient(loop, config.discoveryAddress()), this::onNoticeAcknowledged);
+        noticeSender = new NoticeSender(loop, new AgentClient(loop, config.discoveryAddress()),
+                this::onNoticeAcknowledged);
         requestClasses = new RequestClassRegistry(settings);
         stats.registerClasses(requestClasses.classNames());
         nextNumber = journal.nextMessageNumber();
     }
 
-    /** Whom to ask for the list sooner than it would come by itself. */
+    /** Sets what is run to make discovery fetch the route list sooner than scheduled. */
     void setListRequester(Runnable ask) {
         listRequester = ask;
     }
 
-    /** Takes other settings whole: what is taken on from now on goes by them. */
+    /** Replaces all settings. Messages accepted from now on are handled by the new ones. */
     void reconfigure(Config next) {
         settings = next.settings();
         roundDelayMicros = next.roundDelayMicros();
@@ -94,19 +116,23 @@
         addEvent(new Policy.SettingsChanged(settings));
     }
 
-    /** The event loop has stood still for a span up to now. */
+    /** The event loop has just stalled, for a time in microseconds. */
     void onLoopStall(long span) {
         deadlineMargin.recordStall(clock.micros(), span);
     }
 
-    /** A configuration was turned down. */
+    /** A new configuration was invalid and is not used. */
     void onReloadFailed() {
         stats.countReloadError();
     }
 
-    /** Takes in the list known from before, what was learned of its routes, and what the journal holds. */
+    /**
+     * Restores the route list known from before ({@code known} may be empty), what an earlier process learned of its
+     * routes, and the unfinished messages of the journal.
+     */
     void start(long knownVersion, List<Target> known, Path health) {
-        loop.scheduleAtFixedRate(this::logCounters, COUNTERS_LOG_INTERVAL_MILLIS, COUNTERS_LOG_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::logCounters, COUNTERS_LOG_INTERVAL_MILLIS, COUNTERS_LOG_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
         if (!known.isEmpty()) {
             updateTargets(Policy.RouteListUpdateType.CACHED, knownVersion, known);
         }
@@ -115,18 +141,21 @@
             addEvent(new Policy.LearnedStateRestored(learned, 0));
             addEvent(new Policy.PredecessorEnded());
         }
-        loop.scheduleAtFixedRate(() -> writeRouteState(health), ROUTE_STATE_WRITE_INTERVAL_MILLIS, ROUTE_STATE_WRITE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(() -> writeRouteState(health), ROUTE_STATE_WRITE_INTERVAL_MILLIS,
+                ROUTE_STATE_WRITE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         journal.unfinishedMessages().forEach(this::resumeMessage);
     }
 
     private void writeRouteState(Path health) {
-        // Guards against what this process no longer learns: another one decides for it.
+        // While another process takes the decisions, this one learns nothing more: its state would be written with the
+        // current time although it is out of date.
         if (!decisionsSuspended) {
-            journal.reserveForOtherFiles(RouteStateFile.write(health, policy.encodeLearnedState(), clock.micros(), diskBytes));
+            journal.reserveForOtherFiles(
+                    RouteStateFile.write(health, policy.encodeLearnedState(), clock.micros(), diskBytes));
         }
     }
 
-    /** Goes on with a message that another process took on. */
+    /** Continues a message that another process accepted: its notice where its end is decided, else its delivery. */
     private void resumeMessage(Message message) {
         indexMessage(message);
         if (message.nonDelivery != null) {
@@ -143,12 +172,12 @@
                 .map(a -> new Policy.PastAttempt(a.route, a.sentAt, a.result)).toList()));
     }
 
-    /** Takes up what a process that has ended left open, in a part that this one owns now. */
+    /** Resumes the unfinished messages of a process that has ended. This process holds the lock of the folder now. */
     @Override
     public void adoptFolder(StateFolder.LockedFolder part) throws IOException {
         List<Message> left = Journal.readUnfinishedMessages(part.folder(), diskBytes);
         journal.useWholeDisk();
-        // Guards against what was passed on already when the process ended, before it could note that.
+        // The other process may have handed a message over and ended before it could record that in its journal.
         left.stream().filter(message -> !messagesByCallId.containsKey(message.content.callId()))
                 .forEach(message -> resumeMessage(renumberAndJournal(message)));
         Journal.deleteSegments(part.folder());
@@ -158,6 +187,7 @@
         addEvent(new Policy.PredecessorEnded());
     }
 
+    /** Gives a message of another process a number of this one and records it in this one's journal. */
     private Message renumberAndJournal(Message message) {
         Message own = message.withNumber(nextNumber++);
         if (!journal.recordAdopted(own)) {
@@ -169,7 +199,7 @@
     @Override
     public Message storeMessage(byte[] records) throws IOException {
         Message message = renumberAndJournal(Journal.unpack(records));
-        // A client that sends it once more since its connection closed is answered from here.
+        // A client that resends the request because its connection closed is answered by this process from now on.
         indexMessage(message);
         return message;
     }
@@ -200,21 +230,27 @@
         hostClient.reserveDescriptors(descriptors);
     }
 
-    /** Takes the last decisions and tells where all stands; what happens from now on waits for the next ones. */
+    /**
+     * Runs a last round and returns the state that another process needs to take the decisions. Later events are kept
+     * for the round after {@link #resumeDecisions}. {@code clients} is the number of client connections.
+     */
     HandoverSnapshot suspendDecisions(int clients) {
         runRound();
         decisionsSuspended = true;
-        return new HandoverSnapshot(listVersion, hostClient.targets(), policy.encodeLearnedState(), hostClient.callsInFlight(),
-                clients + hostClient.connections());
+        return new HandoverSnapshot(listVersion, hostClient.targets(), policy.encodeLearnedState(),
+                hostClient.callsInFlight(), clients + hostClient.connections());
     }
 
-    /** Takes decisions again, on what has happened meanwhile first. */
+    /** Takes decisions again, starting with a round for the events that were kept. */
     void resumeDecisions() {
         decisionsSuspended = false;
         addEvent(new Policy.TimerFired(0));
     }
 
-    /** Leaves every further decision to another process, which gets each message as soon as it is at rest. */
+    /**
+     * Leaves all further decisions to another process. It gets each message as soon as nothing in this process still
+     * depends on it: see {@link #offerToSuccessor}.
+     */
     void handOver(SuccessorLink link) {
         successor = link;
         journal.shareDisk(true);
@@ -222,8 +258,10 @@
         List.copyOf(messagesByNumber.values()).forEach(this::offerToSuccessor);
     }
 
+    /** Offers a message whose end is open, whose client has its response, and that has no attempt in flight. */
     private void offerToSuccessor(Message message) {
-        boolean atRest = message.pendingReply == null && message.nonDelivery == null && !message.finished && !message.hasAttemptsInFlight();
+        boolean atRest = message.pendingReply == null && message.nonDelivery == null && !message.finished
+                && !message.hasAttemptsInFlight();
         if (successor != null && atRest) {
             successor.offer(message);
         }
@@ -236,21 +274,22 @@
         }
     }
 
-    /** Tells staff where messages are and what has become of others; nothing while there is nothing to tell. */
+    /** Logs how many messages are open and what was counted since the last line; no line where both are empty. */
     private void logCounters() {
         String counts = counters.formatAndReset();
         if (openMessageCount > 0 || !counts.isEmpty()) {
-            Log.write("held " + openMessageCount + ", calls " + attemptsInFlight + " of " + settings.limits().callSlots() + ", "
-                    + hostClient.connectionSummary() + mostAwaitedDestination() + (counts.isEmpty() ? "" : "; " + counts));
+            Log.write("held " + openMessageCount + ", calls " + attemptsInFlight + " of "
+                    + settings.limits().callSlots() + ", " + hostClient.connectionSummary() + mostAwaitedDestination()
+                    + (counts.isEmpty() ? "" : "; " + counts));
         }
     }
 
-    /** The figures that operators ask for. */
+    /** The totals since the start of the process and the current figures, for operators. */
     String statsJson() {
         return stats.toJson(openMessageCount, hostClient.hostCount(), policy.countUnavailableRoutes(clock.micros()));
     }
 
-    /** The destination that most messages wait for, where many do. */
+    /** Log text that names the destination that most messages wait for; empty where no two wait for the same one. */
     private String mostAwaitedDestination() {
         Map<Integer, Integer> waiting = new HashMap<>();
         for (Message message : messagesByNumber.values()) {
@@ -262,37 +301,38 @@
                 .map(most -> ", " + most.getValue() + " wait for destination " + most.getKey()).orElse("");
     }
 
+    /** True once a route list is known, so that messages can be accepted. */
     boolean isReady() {
         return ready;
     }
 
-    /** True where nothing is owed any more. */
+    /** True where this process holds no message: no delivery, response or notice is outstanding. */
     boolean hasNoMessages() {
         return messagesByNumber.isEmpty();
     }
 
     /**
-     * Begins nothing new from now on: an attempt that the end of the process cuts off may have run, so a
-     * message that may take effect only once would be lost by it. What is held waits in the journal.
+     * Starts no more attempts. An attempt that is cut off by the end of the process may have been executed, so a
+     * message that may take effect only once could not be delivered any more. Open messages wait in the journal.
      */
     void stopNewAttempts() {
         newAttemptsStopped = true;
         addEvent(new Policy.ShutdownStarted());
     }
 
-    /** True where nothing more begins here. */
+    /** True where this process starts no more attempts. */
     boolean hasStoppedNewAttempts() {
         return newAttemptsStopped || decisionsSuspended;
     }
 
-    /** True where no attempt is out and no client waits for an answer. */
+    /** True where no attempt is in flight and no client of an accepted message waits for its response. */
     boolean hasNothingInFlight() {
         return attemptsInFlight == 0 && acceptedThisRound.isEmpty();
     }
 
     /**
-     * The terms for a message: null where its class or its tenant is not known, or it lacks the key it needs, or where
-     * its destination is not known, unless discovery is still to tell its list.
+     * The terms on which a message is accepted. Null where its class or tenant is unknown, where it lacks the
+     * idempotency key that its class needs, and where discovery has sent its list and the destination is unknown.
      */
     Policy.RequestTerms termsFor(Message.Content content) {
         boolean mayBeReached = knownDestinations.contains(content.destination()) || !listReceived;
@@ -300,15 +340,17 @@
     }
 
     /**
-     * Takes a message on, whose bytes may have lain unread since a time, and returns it; its client is answered at
-     * the end of the round, so that one who leaves meanwhile is noticed and one whose message ends at once hears
-     * that instead. Null where the client has its answer already.
+     * Accepts a message and returns it, or answers the client at once and returns null. {@code unreadSince} is the
+     * earliest time at which the bytes that are read now can have arrived. The client of an accepted message is
+     * answered at the end of the round: until then its disconnection is noticed, and where the message ends in that
+     * round the client is told so in the response.
      */
-    Message acceptMessage(Message.Content content, Policy.RequestTerms terms, long unreadSince, Message.ClientReply client) {
+    Message acceptMessage(Message.Content content, Policy.RequestTerms terms, long unreadSince,
+            Message.ClientReply client) {
         Message same = messagesByCallId.get(content.callId());
         if (same != null) {
-            // Guards against a client that sends a request once more since its connection closed on it. One
-            // whose own client may yet withdraw it, or that is over, is not taken on.
+            // A client resends a request after its connection closed before the response. The message is held
+            // already, so it is confirmed, unless its first client may still withdraw it or its end is decided.
             if (same.pendingReply == null && same.nonDelivery == null && !same.finished) {
                 client.sendAccepted();
             } else {
@@ -316,17 +358,20 @@
             }
             return null;
         }
-        // Guards against a list from before a restart: a destination may be new since, so this is no failure.
+        // A list from before a restart may lack a newer destination, so the client is told to retry.
         boolean reachable = knownDestinations.contains(content.destination());
-        // Guards against promises that a relay short of CPU can't keep, and against clients that have left by now:
-        // what may have lain unread so long is refused at once. It harms where the client has come just now.
+        // Rejects a request that may have lain unread too long: a relay so short of CPU can't deliver what it accepts,
+        // and the client may have stopped waiting. A request that has only just arrived can be rejected too, as
+        // nothing but its earliest possible arrival is known.
         long now = clock.micros();
         boolean behind = now - unreadSince > MAX_READ_DELAY_MICROS;
         long margin = deadlineMargin.marginFor(now, content.deadline() - now);
-        Message message = new Message(nextNumber, content.withEarlierDeadline(margin), DeadlineMargin.shortenDeadline(terms, margin));
+        Message message = new Message(nextNumber, content.withEarlierDeadline(margin),
+                DeadlineMargin.shortenDeadline(terms, margin));
         message.clientDeadline = content.deadline();
         String obstacle = !ready ? "not ready" : behind ? "behind" : !reachable ? "unknown destination"
-                : openMessageCount >= settings.limits().maxOpenRequests() ? "full" : !journal.recordAccepted(message) ? "no disk" : null;
+                : openMessageCount >= settings.limits().maxOpenRequests() ? "full"
+                : !journal.recordAccepted(message) ? "no disk" : null;
         if (obstacle != null) {
             counters.count("turned away: " + obstacle);
             stats.countRejected(content.requestClass());
@@ -351,11 +396,11 @@
 
     private static Policy.RequestAccepted acceptedEvent(Message message) {
         Message.Content content = message.content;
-        return new Policy.RequestAccepted(message.number, content.requestClass(), content.tenant(), content.idempotencyKey(),
-                content.deadline(), content.destination(), message.terms);
+        return new Policy.RequestAccepted(message.number, content.requestClass(), content.tenant(),
+                content.idempotencyKey(), content.deadline(), content.destination(), message.terms);
     }
 
-    /** The client left before its answer: nothing is owed to it. */
+    /** The client disconnected before its response: its message is dropped, unless its end is decided. */
     void withdraw(Message message) {
         message.pendingReply = null;
         if (messagesByNumber.containsKey(message.number) && message.nonDelivery == null && !message.finished) {
@@ -365,11 +410,12 @@
         }
     }
 
-    /** Guards against a message that an error in a round has left behind. */
+    /** Ends a message that the module has left open past its deadline, for example after an error in a round. */
     private void startOverdueTimer(Message message) {
         long delay = message.content.deadline() + OVERDUE_GRACE_MICROS - clock.micros();
         message.overdueTimer = loop.schedule(() -> {
-            // Guards against failing what may be refused, only as no round has come to it for want of CPU.
+            // Lack of CPU may have delayed the round in which the module would have rejected the message. A rejected
+            // message may be submitted again, a failed one may not, so the round runs first.
             runRound();
             if (message.nonDelivery == null && !message.finished) {
                 Log.write("message " + message.content.callId() + " is overdue");
@@ -382,7 +428,8 @@
         pendingEvents.add(event);
         if (!roundScheduled) {
             roundScheduled = true;
-            // Guards, by a whole period, against answering a client whose leaving has come but is not read yet.
+            // A client's disconnection may have arrived and not been read yet. The round waits a whole period, so that
+            // the disconnection is read before the client would be answered.
             loop.schedule(this::runRound, roundDelayMicros, TimeUnit.MICROSECONDS);
         }
     }
@@ -399,7 +446,7 @@
                 policy.onRound(now, came, this);
             }
         } catch (RuntimeException e) {
-            // Guards against one bad event that would end the relay and all that it holds.
+            // One bad event must not end the relay and with it the delivery of all its messages.
             Log.write("a round failed: " + e + " at " + List.of(e.getStackTrace()).stream().findFirst().orElse(null));
         }
         for (Message message : arrived) {
@@ -436,7 +483,7 @@
         attemptsInFlight++;
         long left = message.content.deadline() - now;
         if (left <= 0 || !journal.recordAttempt(attempt)) {
-            // Guards against an attempt that a restart would know nothing of.
+            // An attempt that is not in the journal is not sent: after a restart the relay would not know of it.
             attemptEnded(attempt, Result.NOT_SENT, false, 0, LimitReport.NONE);
             return;
         }
@@ -453,7 +500,7 @@
         attemptsInFlight--;
         boolean late = result == Result.OK && clock.micros() > message.clientDeadline;
         if (late) {
-            // Guards against a delivery that comes after the time that its client counts: that is none.
+            // A delivery after the client's deadline does not count as one: the message has failed.
             journal.recordResult(attempt);
             endUndelivered(message.number, new Message.NonDelivery(false, 0));
         } else if (over && message.nonDelivery == null && !message.finished) {
@@ -469,8 +516,8 @@
         boolean closed = message.finished || message.nonDelivery != null;
         long elapsed = clock.micros() - attempt.sentAt;
         if (successor == null) {
-            addEvent(new Policy.AttemptEnded(message.number, attempt.number, attempt.route, result, closed, wait, elapsed,
-                    report));
+            addEvent(new Policy.AttemptEnded(message.number, attempt.number, attempt.route, result, closed, wait,
+                    elapsed, report));
         } else {
             successor.sendOutcome(attempt.route, result, wait, elapsed, hostClient.callsInFlight());
             offerToSuccessor(message);
@@ -488,9 +535,9 @@
         addEvent(new Policy.ProbeEnded(route, result, wait, elapsed, report));
     }
 
-    /** Nothing more is owed for a message, and no notice either. */
+    /** Closes a message for which neither a delivery nor a notice is outstanding. */
     private void finishMessage(Message message) {
-        // Guards against timers that hold every message, body and all, until its time is up.
+        // A running timer would keep the message and its body in memory until its deadline.
         message.overdueTimer.cancel(false);
         message.finished = true;
         openMessageCount--;
@@ -498,6 +545,7 @@
         removeIfSettled(message);
     }
 
+    /** Forgets a message once it is finished and its last attempt has ended. */
     private void removeIfSettled(Message message) {
         if (message.finished && !message.hasAttemptsInFlight()) {
             messagesByNumber.remove(message.number);
@@ -505,6 +553,10 @@
         }
     }
 
+    /**
+     * Ends a message without delivery, unless its end is decided. A client that still waits gets the end as its
+     * response; otherwise the platform gets a notice.
+     */
     private void endUndelivered(long id, Message.NonDelivery end) {
         Message message = messagesByNumber.get(id);
         if (message == null || message.nonDelivery != null || message.finished) {
@@ -535,6 +587,7 @@
         }
     }
 
+    /** The platform has received the notice of a message's end. */
     private void onNoticeAcknowledged(Message message) {
         message.finished = true;
         journal.recordDone(message);
@@ -551,7 +604,10 @@
         addEvent(new Policy.RouteListUpdate(kind, version, targets.stream().map(Target::listed).toList()));
     }
 
-    /** Guards, by half of the grace, against a signal that was read late. */
+    /**
+     * The list counts as delivered in {@code in} microseconds; routes that drain may be used for the drain grace after
+     * that. Half of the grace is kept in reserve, for a reload signal that was read late.
+     */
     @Override
     public void listStale(long in) {
         long now = clock.micros();
@@ -591,11 +647,11 @@
         hostClient.closeIdle(route);
     }
 
-    /** Relays on sockets have no way to talk to each other. */
+    /** Does nothing: relay processes on sockets have no connection to each other. */
     @Override
     public void sendPeerNote(int relay, byte[] bytes) { }
 
-    /** The watch on discovery runs all the time. */
+    /** Does nothing: this process follows discovery all the time. */
     @Override
     public void setRouteListSubscription(boolean on) { }
 
--- a/src/main/java/drumdeal/relay/Message.java
+++ b/src/main/java/drumdeal/relay/Message.java
@@ -5,26 +5,35 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A message that a client handed in, and how far its delivery has come. Times are the {@link Clock}'s. */
+/** A message that a client submitted, and the state of its delivery. Times are in microseconds of {@link Clock}. */
 final class Message {
-    /** What a client handed in; {@code tenant} and {@code key} may be null. */
+    /**
+     * What a client submitted. {@code tenant} and {@code idempotencyKey} may be null. After {@code deadline} the
+     * message is not delivered any more. {@code destination} is the destination's number in the route list.
+     */
     record Content(String callId, String requestClass, String tenant, String idempotencyKey, long deadline,
             int destination, byte[] body) {
-        /** The same message with so much less time. */
+        /** A copy whose deadline is {@code margin} microseconds earlier. */
         Content withEarlierDeadline(long margin) {
             return new Content(callId, requestClass, tenant, idempotencyKey, deadline - margin, destination, body);
         }
     }
 
-    /** How a message that is not delivered ends. */
+    /**
+     * The end of a message that is not delivered. A rejected message may safely be submitted again, after
+     * {@code retryAfter} microseconds where that is above 0. One that is not rejected has failed and may have taken
+     * effect.
+     */
     record NonDelivery(boolean rejected, long retryAfter) { }
 
-    /** One attempt; {@code result} stays null while nothing is known. */
+    /** One attempt to deliver a message. */
     static final class Attempt {
         final Message message;
+        /** Index in the message's list of attempts. */
         final int number;
         final String route;
         final long sentAt;
+        /** Null until the attempt has ended, and for good where the process ended first. */
         Policy.Result result;
 
         private Attempt(Message message, int number, String route, long sentAt) {
@@ -35,20 +44,21 @@
         }
     }
 
-    /** Number in this relay's journal. */
+    /** Number in the journal of the process that holds the message. */
     final long number;
     final Content content;
-    /** Until when a delivery counts: later than the content's deadline by the margin kept for the message's end. */
+    /** The client's deadline, up to which a delivery counts: the content's deadline plus the {@link DeadlineMargin}. */
     long clientDeadline;
-    /** What it was taken on under; null where a former version of the journal does not tell. */
+    /** The terms on which the message was accepted; null where it comes from a journal record without terms. */
     final Policy.RequestTerms terms;
     final List<Attempt> attempts = new ArrayList<>();
-    /** Where the client that handed the message in waits; null once it has its answer. */
+    /** The client that submitted the message and waits for the response; null once it has been answered or has left. */
     ClientReply pendingReply;
+    /** Null until the message has ended undelivered. */
     NonDelivery nonDelivery;
-    /** The timer that ends the message should the module leave it open. */
+    /** Ends the message if the module leaves it open past its deadline; null where its end was decided before. */
     Future<?> overdueTimer;
-    /** Nothing more is owed. */
+    /** True once neither a delivery nor a notice is outstanding. */
     boolean finished;
     private int attemptsInFlight;
 
@@ -59,7 +69,7 @@
         this.terms = terms;
     }
 
-    /** The same message under a number of another journal. */
+    /** A copy, with attempts and end, under a number of another journal. */
     Message withNumber(long next) {
         Message copy = new Message(next, content, terms);
         attempts.forEach(attempt -> copy.addAttempt(attempt.route, attempt.sentAt).result = attempt.result);
@@ -85,12 +95,14 @@
         return attemptsInFlight > 0;
     }
 
-    /** The answer that a client waits for after it has handed a message in. */
+    /** Sends the response to a client that has submitted a message. One of the methods is called, once a message. */
     interface ClientReply {
         void sendAccepted();
 
+        /** The client may submit the message again, after {@code retryIn} microseconds where that is above 0. */
         void sendRejected(long retryIn);
 
+        /** The message is not delivered, and may have taken effect. */
         void sendFailed();
     }
 }
