--- a/src/main/java/drumdeal/relay/ClientConnection.java
+++ b/src/main/java/drumdeal/relay/ClientConnection.java
@@ -31,37 +31,51 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 
-/** One client's connection: reads its requests, answers them in order, and gives up a client that stalls. */
+/**
+ * One client connection: reads requests, answers them in order, and closes the connection of a client that does not
+ * complete its request in time. Runs on the event loop.
+ */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements Message.ClientReply {
+    /** Requests that are decoded and not handled yet. */
     private static final int MAX_PIPELINED_REQUESTS = 8;
-    /** For a first request from connecting, for later ones from their first byte. */
+    /** How long a client may take to send a request: the first from connecting, later ones from their first byte. */
     private static final long REQUEST_TIMEOUT_MILLIS = 2500;
     private static final long IDLE_TIMEOUT_MILLIS = 10_000;
+    /** How long the connection is still read after output was shut down. */
     private static final long LINGER_TIMEOUT_MILLIS = 2000;
 
     private final ClientServer server;
     private final Engine engine;
     private final Clock clock;
+    /** Requests that are received whole and not handled yet. */
     private final ArrayDeque<ClientRequest> pipelined = new ArrayDeque<>();
     private final BoundedRequestDecoder decoder = new BoundedRequestDecoder();
-    /** Bytes that were read wait until requests before them have their answers. */
+    /** True while the decoder holds bytes back because too many requests are pipelined. */
     private boolean hasUndecodedBytes;
     private ChannelHandlerContext context;
     private long openedAt;
+    /** The earliest time at which the client can have connected. */
     private long earliestConnectionArrival;
-    /** Since when bytes may have waited that were not read while too many requests were pipelined. */
+    /** Earliest arrival of bytes left unread while too many requests were pipelined; MAX_VALUE where none are. */
     private long readPausedSince = Long.MAX_VALUE;
     private long earliestArrivalOfLastBytes;
+    /** True while no byte of a next request has been read. */
     private boolean idle = true;
     private boolean hasServedRequest;
+    /** Whether the connection stays open after the response to the current request. */
     private boolean keepAlive;
+    /** The request whose body is being received; null between requests. */
     private ClientRequest partialRequest;
     private boolean handlingPipelined;
+    /** True from handling a request until its response is written. */
     private boolean responsePending;
-    /** The last request that is heeded can't be read on; its refusal is the last answer. */
+    /** Status of the last response where a request can't be read to its end; null otherwise. */
     private HttpResponseStatus rejectionStatus;
+    /** True from writing the last response, or from closing an idle connection. */
     private boolean closing;
+    /** Bytes of request bodies that the server counts for this connection. */
     private int bufferedBytes;
+    /** The accepted message whose response is pending; null otherwise. */
     private Message pendingMessage;
     private Future<?> timer;
 
@@ -71,7 +85,7 @@
         this.clock = clock;
     }
 
-    /** What the channel's pipeline is made of. */
+    /** The handlers of the channel's pipeline, in order. */
     ChannelHandler[] handlers() {
         return new ChannelHandler[] {new InboundByteHandler(), decoder, new HttpResponseEncoder(), this};
     }
@@ -80,19 +94,20 @@
         return responsePending;
     }
 
-    /** True where the last answer has been written. */
+    /** True where no further response will be sent. */
     boolean isClosing() {
         return closing;
     }
 
-    /** Closes in a while, unless a request comes first. */
+    /** Closes the connection after a delay unless a request arrives first. */
     void scheduleIdleClose(long millis) {
         startTimer(millis, this::closeIfIdle);
     }
 
     /**
-     * Ends a connection that rests. Guards against a request that has come since this pass has read, and, by an end to
-     * sending alone, against one that is on its way: its client would see a reset, and has the right to an end.
+     * Closes an idle connection. Reads first, as a request may have arrived since this pass of the loop read. Shuts
+     * down output only: a client whose request is on its way would otherwise see a reset, and it is entitled to an
+     * orderly end of the connection.
      */
     private void closeIfIdle() {
         readNow();
@@ -105,7 +120,7 @@
         }
     }
 
-    /** Waits no longer for the rest of a request, or for one to come; one that is whole is answered. */
+    /** Rejects a request that is not complete yet and closes an idle connection; a complete request is answered. */
     void rejectIncompleteRequest() {
         if (!closing && idle) {
             closeIfIdle();
@@ -114,7 +129,7 @@
         }
     }
 
-    /** Reads what has come so far, without waiting for the loop's next pass. */
+    /** Reads what has arrived so far, without waiting for the loop's next pass. */
     void readNow() {
         ((AbstractNioChannel) context.channel()).unsafe().read();
     }
@@ -123,7 +138,7 @@
         context.close();
     }
 
-    /** Notices the first byte of a request, and lets go by what comes after the last one that is heeded. */
+    /** Notes when bytes arrive, before they are decoded, and discards those after the last request to be handled. */
     private final class InboundByteHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
@@ -153,14 +168,14 @@
         }
     }
 
-    /** The earliest time at which the bytes that are read now can have come. */
+    /** The earliest time at which the bytes that are read now can have arrived. */
     private long earliestByteArrival() {
         long since = Math.min(readPausedSince, server.earliestByteArrival());
-        // Guards against bytes that came with the connection and waited, with it, to be accepted.
+        // Bytes sent right after connecting have waited as long as the connection has waited to be accepted.
         return since <= openedAt ? Math.min(since, earliestConnectionArrival) : since;
     }
 
-    /** Takes bytes apart only as far as there is room for requests; the others wait as they came. */
+    /** Decodes no further than up to the limit of pipelined requests; the bytes after that stay in its buffer. */
     private final class BoundedRequestDecoder extends HttpRequestDecoder {
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf bytes, List<Object> out) throws Exception {
@@ -171,7 +186,10 @@
             }
         }
 
-        /** Guards against two lengths, of which only one can be true: both stay, for the reader to see. */
+        /**
+         * Leaves both headers in place, so that {@link ClientRequest} sees and rejects the request: only one of the two
+         * lengths can be right.
+         */
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage request) { }
     }
@@ -197,10 +215,10 @@
         server.onConnectionOpened(this);
     }
 
-    /** Guards against clients that connect and say nothing, or begin a request and never end it. */
+    /** Closes the connection of a client that has sent nothing, and rejects a request that is not complete in time. */
     private void onRequestTimeout() {
         timer = null;
-        // Guards against refusing a request whose last byte has come since this pass has read.
+        // The last byte of the request may have arrived since this pass of the loop read.
         readNow();
         if (timer != null || closing) {
             return;
@@ -223,7 +241,7 @@
         withdraw();
     }
 
-    /** Guards against delivering what its client gave up and may hand in again under another id. */
+    /** Withdraws the message of a client that left before its response and may submit it again under another id. */
     private void withdraw() {
         if (pendingMessage != null) {
             engine.withdraw(pendingMessage);
@@ -271,7 +289,7 @@
         } else if (!partialRequest.appendBody(content.content())) {
             rejectAndClose(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         } else if (!server.tryReserveBuffer(bytes, partialRequest.bodySize())) {
-            // Guards against half-read bodies that together take all the memory.
+            // Bodies that are not received whole could together take all the memory.
             rejectAndClose(HttpResponseStatus.SERVICE_UNAVAILABLE);
         } else {
             bufferedBytes += bytes;
@@ -285,7 +303,7 @@
         }
     }
 
-    /** Guards against hundreds of requests at once: what is not read yet waits with its client. */
+    /** Stops reading while too many requests are pipelined: a client that sends hundreds at once has to wait. */
     private void updateAutoRead() {
         boolean full = hasUndecodedBytes || pipelined.size() >= MAX_PIPELINED_REQUESTS;
         if (full) {
@@ -294,7 +312,7 @@
         context.channel().config().setAutoRead(!full);
     }
 
-    /** Takes apart what waits, in a pass of its own: others come in between. */
+    /** Decodes the bytes held back. Runs as a task of its own, so that other connections are served in between. */
     private void resumeDecoding() {
         if (hasUndecodedBytes && !closing && pipelined.size() < MAX_PIPELINED_REQUESTS) {
             hasUndecodedBytes = false;
@@ -308,12 +326,12 @@
         }
     }
 
-    /** True where a request that was read, or may have been, has not been handled yet. */
+    /** True where a complete request is not handled yet, or undecoded bytes may hold one. */
     private boolean hasUnhandledRequests() {
         return hasUndecodedBytes || !pipelined.isEmpty();
     }
 
-    /** Answers, after all that came before it, a request that can't be read on; nothing after it is heeded. */
+    /** Rejects a request that can't be read on, after the responses to those before it, and ignores all after it. */
     private void rejectAndClose(HttpResponseStatus why) {
         partialRequest = null;
         rejectionStatus = why;
@@ -321,8 +339,9 @@
     }
 
     /**
-     * Answers what can be answered of what has been taken apart. Guards, with the next part in a pass of its own, against
-     * a client that sends hundreds of requests at once: all others, and every end that is due, would wait for them.
+     * Handles decoded requests until one has to wait for its response. The bytes held back are decoded in a later task:
+     * otherwise all other clients, and the timers of messages whose time is up, would wait for a client that sends
+     * hundreds of requests at once.
      */
     private void handlePipelined() {
         if (handlingPipelined || closing || !hasUnhandledRequests() && rejectionStatus == null) {
@@ -420,7 +439,7 @@
         if (!last) {
             afterResponse();
         }
-        // Those of one pass go together.
+        // handlePipelined() flushes the responses of one pass together.
         if (!handlingPipelined) {
             context.flush();
         }
@@ -440,7 +459,10 @@
         handlePipelined();
     }
 
-    /** Guards against an answer that a reset takes with it, as what the client still sends is not read. */
+    /**
+     * Shuts down output and goes on reading for a while. Closing the socket with unread bytes would send a reset, and
+     * the client could lose its response to that.
+     */
     private void startLingeringClose() {
         if (!context.channel().isActive()) {
             return;
--- a/src/main/java/drumdeal/relay/ClientRequest.java
+++ b/src/main/java/drumdeal/relay/ClientRequest.java
@@ -13,15 +13,18 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A client's request as it comes in: whether it can be read at all, and the message that it holds. */
+/** A client's HTTP request: checks that its body can be read safely, collects the body and parses the message. */
 final class ClientRequest {
     private static final int MAX_BODY_BYTES = 64 << 10;
+    /** Call ids and idempotency keys. */
     private static final Pattern IDENTIFIER_PATTERN = Pattern.compile("[\\x21-\\x7e]{1,200}");
     private static final Pattern MILLIS_PATTERN = Pattern.compile("\\d{1,9}");
+    /** The number of the destination among other parameters of the header. */
     private static final Pattern DESTINATION_PATTERN = Pattern.compile("(?:.*[;,\\s])?dest=(\\d{1,9})(?:[;,\\s].*)?");
 
     private final HttpRequest head;
     private final ByteBuf body = Unpooled.buffer(0, MAX_BODY_BYTES);
+    /** The earliest time at which the last byte can have arrived, in microseconds of {@link Clock}. */
     private long earliestArrival;
 
     ClientRequest(HttpRequest head) {
@@ -32,28 +35,29 @@
         return head;
     }
 
-    /** Why the request can't be read, told from its head alone; null where nothing speaks against it. */
+    /** The status with which the request is rejected because of its head alone; null where its body can be read. */
     HttpResponseStatus rejectionStatus() {
         if (head.decoderResult().isFailure()) {
             return HttpResponseStatus.BAD_REQUEST;
         }
-        // Guards against repeated lengths, of which the decoder takes the first in HTTP/1.0.
+        // In HTTP/1.0 the decoder accepts repeated lengths and takes the first.
         if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
             return HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED;
         }
         List<String> lengths = head.headers().getAll(HttpHeaderNames.CONTENT_LENGTH);
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        // Guards against a second request hidden in the body, for those who heed the other of the two.
+        // With two lengths, or a coding other than chunked, another party may see the body end elsewhere: a second
+        // request could be smuggled in it.
         if (lengths.size() + codings.size() > 1
                 || codings.size() == 1 && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
             return HttpResponseStatus.BAD_REQUEST;
         }
-        // The decoder has made sure that a length is a number.
+        // The decoder has checked that a length is a number.
         return lengths.size() == 1 && Long.parseLong(lengths.get(0)) > MAX_BODY_BYTES
                 ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE : null;
     }
 
-    /** Takes in a piece of the body; false where the body is larger than any may be. */
+    /** Appends a piece of the body; false, with nothing appended, where the body would exceed its limit. */
     boolean appendBody(ByteBuf piece) {
         if (piece.readableBytes() > body.maxWritableBytes()) {
             return false;
@@ -62,7 +66,7 @@
         return true;
     }
 
-    /** The request is whole; its last byte can have come no earlier than this. */
+    /** The request is complete; its last byte can't have arrived before {@code time}. */
     void setEarliestArrival(long time) {
         earliestArrival = time;
     }
@@ -72,8 +76,8 @@
     }
 
     /**
-     * The message that the request holds, or null where a header is missing or makes no sense. Its time counts from
-     * when the client sent it, so that bytes that waited unread leave less of it.
+     * The message that the request contains, or null where a header is missing or invalid. Its deadline counts from the
+     * earliest time at which the request can have arrived, so time that the request lay unread is part of its budget.
      */
     Message.Content parseContent() {
         HttpHeaders headers = head.headers();
@@ -83,8 +87,8 @@
         String key = headers.get(ClientServer.IDEMPOTENCY_KEY_HEADER);
         String budget = headers.get(ClientServer.BUDGET_HEADER, "");
         Matcher consignee = DESTINATION_PATTERN.matcher(headers.get("X-Consignee", ""));
-        if (!IDENTIFIER_PATTERN.matcher(callId).matches() || !MILLIS_PATTERN.matcher(budget).matches() || !consignee.matches()
-                || key != null && !IDENTIFIER_PATTERN.matcher(key).matches()) {
+        if (!IDENTIFIER_PATTERN.matcher(callId).matches() || !MILLIS_PATTERN.matcher(budget).matches()
+                || !consignee.matches() || key != null && !IDENTIFIER_PATTERN.matcher(key).matches()) {
             return null;
         }
         long deadline = earliestArrival + Long.parseLong(budget) * 1000;
--- a/src/main/java/drumdeal/relay/ClientServer.java
+++ b/src/main/java/drumdeal/relay/ClientServer.java
@@ -18,15 +18,23 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Listens for clients and keeps their connections, and what they have half sent, within bounds. */
+/**
+ * Listens for clients, and limits the number of their connections and the memory that incomplete requests take. Runs on
+ * the event loop.
+ */
 final class ClientServer {
+    /** The id of a message, set by its client; the same id means the same message. */
     static final String CALL_ID_HEADER = "X-Call-Id";
+    /** The key by which hosts recognise repeated executions; optional. */
     static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
+    /** The time left for a message, in milliseconds. */
     static final String BUDGET_HEADER = "X-Budget-Ms";
+    /** What a host reports of its load. */
     static final String LOAD_REPORT_HEADER = "X-Load-Report";
     private static final int MAX_LISTEN_BACKLOG = 1024;
-    /** How long it takes to close the connections that are idle when clients are to leave. */
+    /** The time over which idle connections are closed when the relay drains. */
     private static final long IDLE_CLOSE_SPREAD_MILLIS = 1000;
+    /** Limit for the request bodies of all connections together; small requests may exceed it. */
     private static final int MAX_BUFFERED_BYTES = 4 << 20;
     private static final int MAX_SMALL_REQUEST_BYTES = 4 << 10;
 
@@ -34,18 +42,21 @@
     private final Clock clock;
     private final EventLoopMonitor loopMonitor;
     private final int configuredMaxConnections;
+    /** The configured limit, less what is reserved for another process. */
     private int maxConnections;
     private final Set<ClientConnection> connections = new HashSet<>();
-    /** Connections without a whole request, by their last byte, and those idle since an answer; oldest first. */
+    /** Connections without a complete request, the one whose last byte arrived longest ago first. */
     private final Set<ClientConnection> connectionsAwaitingRequest = new LinkedHashSet<>();
+    /** Connections without a byte since their last response, the one idle for longest first. */
     private final Set<ClientConnection> idleConnections = new LinkedHashSet<>();
+    /** Null until {@link #listen} is called. */
     private Channel serverChannel;
-    /** Since when connections may have waited to be accepted that the last pass left behind. */
+    /** Earliest arrival of connections that the last pass may have left unaccepted; MAX_VALUE where it left none. */
     private long unacceptedSince = Long.MAX_VALUE;
     private int bufferedBytes;
     private boolean markedUnready;
     private boolean draining;
-    /** When a client last came or went. */
+    /** When a client last connected, disconnected or was sent the end of its connection. */
     private long lastConnectionChangeNanos = System.nanoTime();
 
     ClientServer(Engine engine, Clock clock, EventLoopMonitor loopMonitor, int mostConnections) {
@@ -60,7 +71,7 @@
     ChannelFuture listen(EventLoop loop, InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, MAX_LISTEN_BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-                // Lets the next version of the relay listen before this one has left.
+                // Lets the next version of the relay listen before this one has ended.
                 .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
                 .handler(new AcceptTracker()).childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
@@ -73,9 +84,13 @@
         return bound;
     }
 
-    /** Guards against connections that wait for several passes, as one accepts only so many. */
+    /**
+     * Notes since when connections may have waited to be accepted. A pass of the loop accepts a limited number, so
+     * others may wait for several passes.
+     */
     private final class AcceptTracker extends AcceptErrorHandler {
         private int acceptedInPass;
+        /** The earliest arrival of the connections that the last pass accepted or left. */
         private long earliestArrivalInPass;
 
         @Override
@@ -95,48 +110,50 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            // The pass ended early and may have left connections, also where it accepted few.
             unacceptedSince = earliestArrivalInPass;
             super.exceptionCaught(ctx, cause);
         }
     }
 
-    /** The earliest time at which a connection that is accepted now can have come. */
+    /** The earliest time at which a connection that is accepted now can have been made. */
     long earliestConnectionArrival() {
         return Math.min(unacceptedSince, loopMonitor.earliestArrival());
     }
 
-    /** The earliest time at which bytes that are read now can have come. */
+    /** The earliest time at which bytes that are read now can have arrived. */
     long earliestByteArrival() {
         return loopMonitor.earliestArrival();
     }
 
-    /** Says from now on that clients had better go elsewhere; those that come are served as before. */
+    /** Reports the relay as not ready from now on, so that clients use others. Those that come are still served. */
     void markUnready() {
         markedUnready = true;
     }
 
-    /** Takes clients again, whatever was said before. */
+    /** Takes back {@link #markUnready} and {@link #drain}. */
     void markReady() {
         markedUnready = false;
         draining = false;
     }
 
-    /** True while this relay takes clients, so far as it is up to the operators. */
+    /** True unless operators or a planned end of the process keep clients away. */
     boolean isMarkedReady() {
         return !markedUnready && !draining;
     }
 
     /**
-     * Closes connections as they fall idle, one after another; whatever a client has begun to send is still answered.
-     * One that has sent nothing yet has come just now and is about to.
+     * Closes connections once they are idle, those that are idle now one after another. A request that a client has
+     * begun to send is still answered. A connection without any byte yet stays open: it is new, and its client is about
+     * to send a request.
      */
     void drain() {
         if (draining) {
             return;
         }
         draining = true;
-        // Guards against requests that cross the end of their connection: those that come get an answer that says so,
-        // and what rests longest, and is used least, closes first.
+        // Spread over time, so that fewer requests cross the end of their connection: a request that arrives before it
+        // is answered, with "Connection: close". Connections that are idle for longest are used least and close first.
         int place = 0;
         for (ClientConnection connection : idleConnections) {
             connection.scheduleIdleClose(IDLE_CLOSE_SPREAD_MILLIS * ++place / idleConnections.size());
@@ -147,27 +164,28 @@
         return draining;
     }
 
-    /** True where no client has a connection on which an answer may yet come. */
+    /** True where no connection is left on which a response may still be sent. */
     boolean hasNoActiveClients() {
         return connections.stream().allMatch(ClientConnection::isClosing);
     }
 
-    /** True where that has been so for a while, and nobody has come or gone in it. */
+    /** As above, and no client has connected, disconnected or been sent the end of its connection for a time. */
     boolean hasNoActiveClients(long millis) {
-        return hasNoActiveClients() && System.nanoTime() - lastConnectionChangeNanos >= TimeUnit.MILLISECONDS.toNanos(millis);
+        return hasNoActiveClients()
+                && System.nanoTime() - lastConnectionChangeNanos >= TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
-    /** True while a request that was read whole has no answer yet. */
+    /** True while a complete request has no response yet. */
     boolean hasPendingResponses() {
         return connections.stream().anyMatch(ClientConnection::isResponsePending);
     }
 
-    /** Stops listening once all that has come is accepted: what still waited would be reset. */
+    /** Stops listening once all waiting connections are accepted: those still waiting would be reset. */
     void stopListening() {
         if (hasStoppedListening()) {
             return;
         }
-        // Guards against a listener that has no address yet.
+        // A channel that is not bound yet has nothing to accept.
         if (!serverChannel.isActive()) {
             serverChannel.close();
             return;
@@ -180,7 +198,7 @@
         }
     }
 
-    /** True where nobody can come any more, and all who have are among the connections. */
+    /** True where no client can connect any more, and all that have connected are accepted. */
     boolean hasStoppedListening() {
         return serverChannel == null || !serverChannel.isOpen();
     }
@@ -191,12 +209,15 @@
                 .forEach(ClientConnection::readNow);
     }
 
-    /** Refuses what is not whole yet, and ends what rests: the process leaves, and what would come meets a reset. */
+    /**
+     * Rejects requests that are not complete and closes idle connections. The process is about to end, and bytes that
+     * arrive after that are answered with a reset.
+     */
     void rejectIncompleteRequests() {
         List.copyOf(connections).forEach(ClientConnection::rejectIncompleteRequest);
     }
 
-    /** So many descriptors are another process's for now; 0 where none are. */
+    /** Lowers the limit of connections by descriptors that another process uses for now; 0 where none are. */
     void reserveDescriptors(int descriptors) {
         maxConnections = Math.max(1, Math.max(configuredMaxConnections / 4, configuredMaxConnections - descriptors));
     }
@@ -205,11 +226,15 @@
         return connections.size();
     }
 
-    /** Guards against clients that take every descriptor: those go first that have got on with nothing for longest. */
+    /**
+     * Adds a connection. At the limit, the connection that has made no progress for longest is closed, so that clients
+     * can't take every descriptor.
+     */
     void onConnectionOpened(ClientConnection connection) {
         if (connections.size() >= maxConnections) {
             ClientConnection first = findLeastActive(connection);
-            // Guards against a house that fills further: its end is told later, and others come in the same pass.
+            // Removed now: its end is reported later, and more connections may be accepted in the same pass, so that
+            // the limit would be exceeded.
             onConnectionClosed(first);
             first.close();
             if (first == connection) {
@@ -221,9 +246,13 @@
         lastConnectionChangeNanos = System.nanoTime();
     }
 
+    /**
+     * The connection that has waited for the rest of its request for longest, else the one idle for longest, else
+     * {@code newest}.
+     */
     private ClientConnection findLeastActive(ClientConnection newest) {
         for (ClientConnection first : List.copyOf(connectionsAwaitingRequest)) {
-            // Guards against ending a client whose last byte has come and is not read yet.
+            // The last byte of its request may have arrived and not been read yet.
             first.readNow();
             if (!connectionsAwaitingRequest.isEmpty() && connectionsAwaitingRequest.iterator().next() == first) {
                 return first;
@@ -238,27 +267,29 @@
         return newest;
     }
 
-    /** Bytes have come that make no whole request yet. */
+    /** Bytes of a request that is not complete yet have arrived. */
     void onBytesReceived(ClientConnection connection) {
         idleConnections.remove(connection);
         connectionsAwaitingRequest.remove(connection);
         connectionsAwaitingRequest.add(connection);
     }
 
-    /** A request is whole, or nothing more of it is heeded. */
+    /** A request is complete, or the rest of it will be ignored. */
     void onRequestComplete(ClientConnection connection) {
         connectionsAwaitingRequest.remove(connection);
     }
 
-    /** A client has been told to go, and may come again. */
+    /** A client has been sent the end of its connection and may connect again. */
     void noteConnectionChange() {
         lastConnectionChangeNanos = System.nanoTime();
     }
 
+    /** A connection has sent its response, and no byte of a next request has arrived. */
     void onConnectionIdle(ClientConnection connection) {
         idleConnections.add(connection);
     }
 
+    /** Forgets a connection; without effect where it was forgotten before. */
     void onConnectionClosed(ClientConnection connection) {
         lastConnectionChangeNanos = connections.remove(connection) ? System.nanoTime() : lastConnectionChangeNanos;
         connectionsAwaitingRequest.remove(connection);
@@ -266,8 +297,8 @@
     }
 
     /**
-     * Counts bytes that connections hold for requests; false where there is no room for more. Small requests
-     * always have room.
+     * Counts {@code bytes} that a connection buffers for a request whose body has {@code request} bytes so far. False,
+     * with nothing counted, where the limit would be exceeded; small requests are never refused.
      */
     boolean tryReserveBuffer(int bytes, int request) {
         if (bufferedBytes + bytes > MAX_BUFFERED_BYTES && request > MAX_SMALL_REQUEST_BYTES) {
@@ -277,6 +308,7 @@
         return true;
     }
 
+    /** Gives back bytes that {@link #tryReserveBuffer} has counted. */
     void releaseBuffer(int bytes) {
         bufferedBytes -= bytes;
     }
