--- a/src/main/java/drumdeal/relay/AcceptErrorHandler.java
+++ b/src/main/java/drumdeal/relay/AcceptErrorHandler.java
@@ -5,8 +5,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Guards against a lack of descriptors or memory, which is over soon, that would end the event loop: Netty
- * logs what nobody takes, and logging opens files. Those that connect meanwhile wait a little longer.
+ * Pauses accepting after an error of the server channel. A lack of descriptors or memory is over soon, but would end
+ * the event loop if no handler took the exception: Netty then logs it, and logging opens files. Clients that connect
+ * meanwhile wait until accepting goes on.
  */
 class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
     private static final long ACCEPT_PAUSE_MILLIS = 50;
@@ -15,6 +16,7 @@
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         Log.write("can't accept: " + cause);
         ctx.channel().config().setAutoRead(false);
-        ctx.executor().schedule(() -> ctx.channel().config().setAutoRead(true), ACCEPT_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+        ctx.executor().schedule(() -> ctx.channel().config().setAutoRead(true), ACCEPT_PAUSE_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/drumdeal/relay/EventLoopMonitor.java
+++ b/src/main/java/drumdeal/relay/EventLoopMonitor.java
@@ -5,22 +5,29 @@
 import java.util.function.LongConsumer;
 
 /**
- * Tells since when bytes that are read now may have lain unread. A pass of the loop reads, then runs its timers:
- * what it reads had not come when the pass before it looked, and no pass runs two checks.
+ * Bounds how long bytes that are read now may have lain unread, and reports stalls of the event loop.
+ *
+ * <p>A pass of the loop polls its sockets and reads, then runs its timers. No pass runs two checks, so the check before
+ * the last one ran before the previous pass polled. Bytes that are read now had not arrived when that pass polled, so
+ * they arrived after that check.
  */
 final class EventLoopMonitor {
-    /** Every message counts as up to two intervals older than it is. */
+    /** A request is taken to be older than it is by up to two intervals. */
     private static final long CHECK_INTERVAL_MILLIS = 10;
-    /** Most of what a notice, or a client's answer, has; staff are told, as every relay short of CPU looks faulty. */
+    /**
+     * A stall of this length takes most of the time in which a notice or a client's response is due. It is logged, as a
+     * relay that is short of CPU otherwise looks faulty.
+     */
     private static final long MIN_LOGGED_STALL_MICROS = 250_000;
 
     private final EventLoop loop;
     private final Clock clock;
     private long lastCheckAt;
+    /** The check before the last one. */
     private long previousCheckAt;
     private final LongConsumer onStall;
 
-    /** Tells {@code stalls} how long the loop has stood still, in microseconds, each time. */
+    /** Passes the length of each stall, in microseconds, to {@code stalls}. */
     EventLoopMonitor(EventLoop loop, Clock clock, LongConsumer stalls) {
         this.loop = loop;
         this.clock = clock;
@@ -29,7 +36,7 @@
         previousCheckAt = lastCheckAt;
     }
 
-    /** Checks from now on; until then everything counts as having come at the start. */
+    /** Checks now and at each interval. Before the first call all bytes count as having arrived at the start. */
     void checkPeriodically() {
         previousCheckAt = lastCheckAt;
         lastCheckAt = clock.micros();
@@ -40,7 +47,7 @@
         loop.schedule(this::checkPeriodically, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** The earliest time at which what is read or accepted now can have come. */
+    /** The earliest time at which bytes read now, or connections accepted now, can have arrived. */
     long earliestArrival() {
         return previousCheckAt;
     }
--- a/src/main/java/drumdeal/relay/IntervalCounters.java
+++ b/src/main/java/drumdeal/relay/IntervalCounters.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** What has happened since the last line of figures, each thing by its name. */
+/** Counts events by name, from one periodic log line to the next. */
 final class IntervalCounters {
     private final Map<String, Integer> counts = new LinkedHashMap<>();
 
@@ -12,7 +12,7 @@
         counts.merge(what, 1, Integer::sum);
     }
 
-    /** Says all counts and starts again from nothing; empty where nothing has happened. */
+    /** Formats all counts for the log and resets them; empty where nothing was counted. */
     String formatAndReset() {
         String text = counts.entrySet().stream().map(e -> e.getKey() + " " + e.getValue())
                 .collect(Collectors.joining(", "));
--- a/src/main/java/drumdeal/relay/Log.java
+++ b/src/main/java/drumdeal/relay/Log.java
@@ -1,7 +1,8 @@
 package drumdeal.relay;
 
-/** One plain line on standard error for staff, so many in a second at the most. */
+/** Writes log lines for operators to standard error, up to a limit per second. */
 final class Log {
+    /** In characters, without the prefix. */
     private static final int MAX_LINE_LENGTH = 300;
     private static final int MAX_LINES_PER_SECOND = 20;
     private static final long NANOS_PER_SECOND = 1_000_000_000;
@@ -11,15 +12,16 @@
 
     private Log() { }
 
-    /** Writes a line; what a peer sent is cut short and can't break out of its line. */
+    /** Writes one line. Text that a peer sent can't make it longer than the limit or add lines. */
     static void write(String text) {
-        // Guards against a peer that makes the relay write more than its reader takes.
+        // A peer could otherwise make the relay write more than the reader of the log takes.
         if (countAndCheckLimit(System.nanoTime() / NANOS_PER_SECOND)) {
             String flat = text.length() > MAX_LINE_LENGTH ? text.substring(0, MAX_LINE_LENGTH) : text;
             System.err.println("drumdeal: " + flat.replaceAll("\\p{Cntrl}", "?"));
         }
     }
 
+    /** Counts a line in the second {@code now}; false where that second has had its lines. */
     private static synchronized boolean countAndCheckLimit(long now) {
         if (now != currentSecond) {
             if (linesThisSecond > MAX_LINES_PER_SECOND) {
--- a/src/main/java/drumdeal/relay/Main.java
+++ b/src/main/java/drumdeal/relay/Main.java
@@ -7,13 +7,14 @@
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
 
-/** Starts the relay or the simulator's adapter. */
+/** Entry point: starts the relay or the simulator's adapter. */
 public final class Main {
+    /** Exit code for wrong arguments and for an invalid configuration. */
     private static final int EXIT_USAGE = 2;
 
     private Main() { }
 
-    /** Runs {@code serve} or {@code simhost}. */
+    /** Runs the relay with {@code serve}, the simulator's adapter with {@code simhost}. */
     public static void main(String[] args) throws IOException {
         String mode = args.length == 1 ? args[0] : "";
         switch (mode) {
@@ -29,7 +30,8 @@
             EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
             Relay relay = new Relay(loop, config);
             ConfigReloader.reloadOnHangUp(System.getenv(), config, relay);
-            // Before clients come: a signal that crosses the start would end the process with their requests unread.
+            // Set before clients can connect: otherwise a signal during the start would end the process with their
+            // requests unread.
             Runtime.getRuntime().addShutdownHook(new Thread(relay::stop, "stop"));
             relay.start();
         } catch (Config.BadConfigException e) {
--- a/src/main/java/drumdeal/relay/NoticeSender.java
+++ b/src/main/java/drumdeal/relay/NoticeSender.java
@@ -14,18 +14,24 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Tells the platform of messages that ended undelivered, each until it has been heard. */
+/**
+ * Sends the platform notices of messages that ended undelivered, and repeats each until it is acknowledged. One request
+ * is in flight at a time and carries many notices.
+ */
 final class NoticeSender {
     /**
-     * A message is lost 300 ms after its time is up, and the answer comes at once: what goes unanswered has to be said
-     * again by then, twice over, as all that ended in one moment is told with one request. Twice as long after each
-     * further one, so that an agent that has become slow is heard in the end.
+     * A message without a notice counts as lost 300 ms after its deadline. The agent usually responds at once, so a
+     * request without a response is repeated, twice within that time: it carries the notices of all messages that
+     * ended in the same moment. The time-out doubles with each further failure, so that an agent that has become slow
+     * gets the time to respond.
      */
     private static final long INITIAL_TIMEOUT_MILLIS = 80;
     private static final long MAX_TIMEOUT_MILLIS = 640;
+    /** Before a request is repeated that failed otherwise than by a time-out. */
     private static final long RETRY_PAUSE_MILLIS = 50;
-    /** Keeps a request, whose ids have 200 characters at the most, within the 64 KiB that a body may have. */
+    /** Keeps a request body, with ids of up to 200 characters, within the limit of 64 KiB. */
     private static final int MAX_NOTICES_PER_REQUEST = 200;
+    /** One log line for so many failures in succession. */
     private static final int FAILURES_PER_LOG_LINE = 4;
     private static final int STATUS_NO_CONTENT = 204;
     private static final int STATUS_BAD_REQUEST = 400;
@@ -34,19 +40,22 @@
     private final Discovery.Agent agent;
     private final Consumer<Message> onAcknowledged;
     private final JsonFactory json = new JsonFactory();
-    /** What has not been heard yet, by number, in the order decided. */
+    /** Messages whose notice is not acknowledged yet, by their number, in the order in which they ended. */
     private final Map<Long, Message> unacknowledged = new LinkedHashMap<>();
+    /** The most notices in the next request; 1 after a request that the platform could not read. */
     private int batchLimit = MAX_NOTICES_PER_REQUEST;
+    /** True while a request is in flight or a retry is scheduled. */
     private boolean sending;
     private int consecutiveFailures;
 
+    /** Passes each message whose notice was acknowledged to a consumer. */
     NoticeSender(EventLoop loop, Discovery.Agent agent, Consumer<Message> heard) {
         this.loop = loop;
         this.onAcknowledged = heard;
         this.agent = agent;
     }
 
-    /** Tells how a message ended; what is said while an earlier request is out goes with the next one. */
+    /** Sends the notice of a message's end. While a request is in flight, it waits for the next one. */
     void send(Message message) {
         unacknowledged.put(message.number, message);
         if (!sending) {
@@ -54,7 +63,7 @@
         }
     }
 
-    /** Goes to another address from now on; what is out there unanswered is told anew. */
+    /** Uses another address from now on. A request without a response is repeated there. */
     void moveTo(InetSocketAddress address) {
         agent.moveTo(address);
     }
@@ -73,7 +82,7 @@
     }
 
     private void onResponse(List<Message> told, int status) {
-        // Guards against one notice that can't be read, which would hold up all that are told with it.
+        // A notice that the platform can't read would hold up all others, so it is given up once it was sent alone.
         boolean lost = status == STATUS_BAD_REQUEST && told.size() == 1;
         if (status == STATUS_NO_CONTENT || lost) {
             if (lost) {
@@ -89,14 +98,17 @@
         if (status == STATUS_BAD_REQUEST) {
             batchLimit = 1;
         }
-        // One line for a loss that a second request mends would only say what the network does all day.
+        // Single losses are usual on the network and made good by the next request, so they are not logged.
         if (++consecutiveFailures % FAILURES_PER_LOG_LINE == 0) {
-            Log.write(unacknowledged.size() + " notices are unheard after " + consecutiveFailures + " requests in vain, status " + status);
+            Log.write(unacknowledged.size() + " notices are unheard after " + consecutiveFailures
+                    + " requests in vain, status " + status);
         }
-        // Silence has taken its time already.
-        loop.schedule(this::sendNextBatch, status == AgentClient.TIMED_OUT ? 0 : RETRY_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+        // A time-out has been pause enough.
+        loop.schedule(this::sendNextBatch, status == AgentClient.TIMED_OUT ? 0 : RETRY_PAUSE_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
+    /** One JSON object a line; waits are rounded up to milliseconds. */
     private String toJsonLines(List<Message> told) {
         StringWriter text = new StringWriter();
         for (Message message : told) {
--- a/src/main/java/drumdeal/relay/Relay.java
+++ b/src/main/java/drumdeal/relay/Relay.java
@@ -12,15 +12,22 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** The relay as a whole: puts its parts together, starts them and ends them. */
+/** The relay: creates its components, starts them, hands over to a newer process and stops. */
 final class Relay implements AdminServer.Controls, SuccessorLink.HandoverHandler, ConfigReloader.Listener {
-    // After the signal to end; the kill comes no sooner than 3.7 s after it.
-    private static final long DRAIN_DELAY_MILLIS = 500; // new connections still come, also when operators empty the relay
-    private static final long STOP_ATTEMPTS_DELAY_MILLIS = 2200; // calls take about a second
-    private static final long STOP_TIMEOUT_MILLIS = 3200; // what is still open is left to the journal
-    private static final long REJECTION_GRACE_MILLIS = 200; // for clients to read that a request begun is not waited for
+    // Delays from the end signal. The process is killed 3.7 s after that signal at the earliest.
+    /** Until idle connections are closed, as clients still connect. Also used when operators drain the relay. */
+    private static final long DRAIN_DELAY_MILLIS = 500;
+    /** Until no more attempts are started, so that those in flight can end: a call takes about a second. */
+    private static final long STOP_ATTEMPTS_DELAY_MILLIS = 2200;
+    /** Until the process ends with messages still open; they stay in the journal. */
+    private static final long STOP_TIMEOUT_MILLIS = 3200;
+    /** After the time-out, for clients to read that their incomplete request was rejected. */
+    private static final long REJECTION_GRACE_MILLIS = 200;
     private static final long POLL_INTERVAL_MILLIS = 20;
-    /** Who sends a request as its connection closes sends it once more on a new one; nothing is won by leaving sooner. */
+    /**
+     * A client that sends a request while its connection closes sends it again on a new one, so the relay stays for a
+     * while after the last client. Ending sooner brings nothing.
+     */
     private static final long RECONNECT_GRACE_MILLIS = 500;
 
     private final EventLoop loop;
@@ -33,11 +40,16 @@
     private final ClientServer clientServer;
     private final SuccessorLink successor;
     private final List<PredecessorLink> predecessors = new ArrayList<>();
+    /** Completed once the relay listens for clients, or can't. */
     private final Promise<Void> servingPromise;
+    /** Predecessors that have neither sent their state nor failed yet. */
     private int pendingPredecessors;
+    /** Released when the process may end. */
     private final CountDownLatch exitLatch = new CountDownLatch(1);
+    /** Null while the relay is not draining. */
     private Future<?> drainTimer;
     private boolean listening;
+    /** When the process ends at the latest, on {@link System#nanoTime}; 0 until the end signal. */
     private long stopDeadlineNanos;
 
     Relay(EventLoop loop, Config config) throws IOException {
@@ -56,7 +68,7 @@
         servingPromise = loop.newPromise();
     }
 
-    /** Resumes what the journal holds and serves. */
+    /** Resumes the messages of the journal and returns once the relay listens for clients. */
     void start() throws IOException {
         try {
             loop.submit(() -> {
@@ -65,7 +77,7 @@
                 discovery.start();
                 successor.listen(stateFolder.ownFolder());
             }).sync();
-            // Answers operators before clients come: they ask whether clients may.
+            // Operators are answered before clients can connect, as they ask whether clients may.
             if (config.adminAddress() != null) {
                 Log.write("operators at " + new AdminServer(this).listen(loop, config.adminAddress()).sync().channel()
                         .localAddress());
@@ -77,14 +89,18 @@
         }
     }
 
-    /** Serves at once where this is the only process, else as soon as each other one has told where it stands. */
+    /**
+     * Adopts the folders of processes that have ended. Listens for clients at once where no other process is running,
+     * else as soon as each has sent its state or does not answer.
+     */
     private void takeOverFromPredecessors() {
         for (Path part : stateFolder.otherFolders()) {
             try (StateFolder.LockedFolder left = StateFolder.tryLock(part)) {
                 if (left != null) {
                     engine.adoptFolder(left);
                 } else {
-                    predecessors.add(new PredecessorLink(loop, part, engine, this::onPredecessorAnswered, this::onPredecessorGone));
+                    predecessors.add(new PredecessorLink(loop, part, engine, this::onPredecessorAnswered,
+                            this::onPredecessorGone));
                 }
             } catch (IOException e) {
                 Log.write("what is left in " + part.getFileName() + " can't be adopted: " + e.getMessage());
@@ -97,7 +113,10 @@
         predecessors.forEach(PredecessorLink::takeOver);
     }
 
-    /** Until the other process has ended, its descriptors and this one's have one bound together. */
+    /**
+     * A predecessor has sent its state, or null where it has not answered. Until it has ended, the limit of descriptors
+     * holds for both processes together: half of what it uses is taken from clients, half from hosts.
+     */
     private void onPredecessorAnswered(HandoverSnapshot standing) {
         if (standing != null) {
             int taken = Config.descriptorsFor(standing.connections());
@@ -147,7 +166,8 @@
     public void handOver() {
         clientServer.markUnready();
         engine.handOver(successor);
-        // After this pass has read what it found; nothing may be read while another read is under way.
+        // As a later task: this pass first reads what has arrived, and stopListening(), which reads as well, must not
+        // run while a channel is being read.
         loop.execute(() -> {
             clientServer.stopListening();
             clientServer.drain();
@@ -160,19 +180,20 @@
         engine.onHandedOver(message);
     }
 
-    /** Leaves once nothing is owed here any more: the other process goes by all bounds again only then. */
+    /** Ends the process once it has no client and no message. Until then the other one works with lower limits. */
     private void exitWhenHandedOver() {
         if (clientServer.hasNoActiveClients() && engine.hasNoMessages()) {
             Log.write("all is passed on");
             exitLatch.countDown();
-            // Guards against an exit that waits for the loop while the loop waits for the exit.
+            // Not on the event loop: System.exit() waits for the shutdown hook, which needs the loop, so each would
+            // wait for the other.
             new Thread(() -> System.exit(0), "leave").start();
         } else {
             loop.schedule(this::exitWhenHandedOver, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Takes over the address of discovery and all settings; addresses and limits of its own stay. */
+    /** Applies the settings and the address of discovery; the relay's own addresses and limits stay as they are. */
     @Override
     public void onConfigReloaded(Config next) {
         loop.execute(() -> {
@@ -220,7 +241,9 @@
         }
     }
 
-    /** Ends service without breaking a promise; returns when the process may end. */
+    /**
+     * Drains the relay and returns when the process may end. Accepted messages that are still open stay in the journal.
+     */
     void stop() {
         loop.execute(() -> {
             stopDeadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STOP_TIMEOUT_MILLIS);
@@ -228,7 +251,8 @@
                 Log.write("told to end before clients could come");
             }
             startDraining();
-            // Guards against calls that a process begins which has served nobody and has no time to hear of them.
+            // A process that has not listened yet has served no client. It starts no attempt and ends at once, as it
+            // would not be there for the results.
             loop.schedule(engine::stopNewAttempts, listening ? STOP_ATTEMPTS_DELAY_MILLIS : 0, TimeUnit.MILLISECONDS);
             loop.schedule(this::exitWhenDrained, listening ? DRAIN_DELAY_MILLIS : 0, TimeUnit.MILLISECONDS);
         });
@@ -239,12 +263,15 @@
         }
     }
 
+    /** Lets the process end once messages and clients allow it, or at the time-out; polls until then. */
     private void exitWhenDrained() {
         boolean late = System.nanoTime() >= stopDeadlineNanos;
-        // Guards against leaving to be adopted what is just being passed on: that comes all at once.
-        boolean done = engine.hasNoMessages() || !successor.isCommitted() && engine.hasStoppedNewAttempts() && engine.hasNothingInFlight();
+        // During a handover the process waits until all messages are handed over: the successor would have to adopt
+        // those left behind all at once.
+        boolean done = engine.hasNoMessages()
+                || !successor.isCommitted() && engine.hasStoppedNewAttempts() && engine.hasNothingInFlight();
         if (late || done && clientServer.hasNoActiveClients(RECONNECT_GRACE_MILLIS)) {
-            // Guards against ending with clients who have come since the loop looked, and have no answer yet.
+            // Clients may have connected, or sent a request, since the loop last polled.
             clientServer.stopListening();
             clientServer.readNow();
         }
@@ -253,7 +280,8 @@
         }
         boolean left = clientServer.connectionCount() == 0
                 || System.nanoTime() >= stopDeadlineNanos + TimeUnit.MILLISECONDS.toNanos(REJECTION_GRACE_MILLIS);
-        if (clientServer.hasStoppedListening() && (done && clientServer.hasNoActiveClients() || late && !clientServer.hasPendingResponses() && left)) {
+        if (clientServer.hasStoppedListening() && (done && clientServer.hasNoActiveClients()
+                || late && !clientServer.hasPendingResponses() && left)) {
             exitLatch.countDown();
         } else {
             loop.schedule(this::exitWhenDrained, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
