--- a/src/main/java/drumdeal/relay/ClientConnection.java
+++ b/src/main/java/drumdeal/relay/ClientConnection.java
@@ -170,9 +170,9 @@
 
     /** The earliest time at which the bytes that are read now can have arrived. */
     private long earliestByteArrival() {
-        long since = Math.min(readPausedSince, server.earliestByteArrival());
+        long earliest = Math.min(readPausedSince, server.earliestByteArrival());
         // Bytes sent right after connecting have waited as long as the connection has waited to be accepted.
-        return since <= openedAt ? Math.min(since, earliestConnectionArrival) : since;
+        return earliest <= openedAt ? Math.min(earliest, earliestConnectionArrival) : earliest;
     }
 
     /** Decodes no further than up to the limit of pipelined requests; the bytes after that stay in its buffer. */
@@ -261,9 +261,9 @@
         }
         if (part instanceof HttpRequest head) {
             partialRequest = new ClientRequest(head);
-            HttpResponseStatus why = partialRequest.rejectionStatus();
-            if (why != null) {
-                rejectAndClose(why);
+            HttpResponseStatus status = partialRequest.rejectionStatus();
+            if (status != null) {
+                rejectAndClose(status);
                 return;
             }
             if (HttpUtil.is100ContinueExpected(head) && !responsePending && pipelined.isEmpty()) {
@@ -332,9 +332,9 @@
     }
 
     /** Rejects a request that can't be read on, after the responses to those before it, and ignores all after it. */
-    private void rejectAndClose(HttpResponseStatus why) {
+    private void rejectAndClose(HttpResponseStatus status) {
         partialRequest = null;
-        rejectionStatus = why;
+        rejectionStatus = status;
         handlePipelined();
     }
 
@@ -349,10 +349,10 @@
         }
         handlingPipelined = true;
         while (!responsePending && !closing && !pipelined.isEmpty()) {
-            ClientRequest next = pipelined.poll();
-            handle(next);
-            bufferedBytes -= next.bodySize();
-            server.releaseBuffer(next.bodySize());
+            ClientRequest request = pipelined.poll();
+            handle(request);
+            bufferedBytes -= request.bodySize();
+            server.releaseBuffer(request.bodySize());
         }
         if (rejectionStatus != null && !responsePending && !closing && pipelined.isEmpty()) {
             keepAlive = false;
@@ -401,8 +401,8 @@
     }
 
     @Override
-    public void sendRejected(long retryIn) {
-        sendResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, retryIn);
+    public void sendRejected(long retryAfterMicros) {
+        sendResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfterMicros);
     }
 
     @Override
@@ -410,33 +410,34 @@
         sendResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, 0);
     }
 
-    private void sendResponse(HttpResponseStatus status, long retryIn) {
+    private void sendResponse(HttpResponseStatus status, long retryAfterMicros) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
         HttpUtil.setContentLength(response, 0);
         closing = !keepAlive || server.isDraining() && !hasUnhandledRequests();
-        boolean last = closing;
-        if (last) {
+        boolean lastResponse = closing;
+        if (lastResponse) {
             server.onRequestComplete(this);
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        if (retryIn > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryIn / 1e6));
+        if (retryAfterMicros > 0) {
+            response.headers().set(HttpHeaderNames.RETRY_AFTER,
+                    String.format(Locale.ROOT, "%.3f", retryAfterMicros / 1e6));
         }
-        Message answered = pendingMessage;
+        Message answeredMessage = pendingMessage;
         pendingMessage = null;
         responsePending = false;
-        context.write(response).addListener(written -> {
-            if (!written.isSuccess() && answered != null) {
-                engine.withdraw(answered);
+        context.write(response).addListener(future -> {
+            if (!future.isSuccess() && answeredMessage != null) {
+                engine.withdraw(answeredMessage);
             }
-            if (!written.isSuccess()) {
+            if (!future.isSuccess()) {
                 context.close();
-            } else if (last) {
+            } else if (lastResponse) {
                 startLingeringClose();
             }
         });
-        if (!last) {
+        if (!lastResponse) {
             afterResponse();
         }
         // handlePipelined() flushes the responses of one pass together.
--- a/src/main/java/drumdeal/relay/ClientRequest.java
+++ b/src/main/java/drumdeal/relay/ClientRequest.java
@@ -84,15 +84,16 @@
         String callId = headers.get(ClientServer.CALL_ID_HEADER, "");
         String requestClass = headers.get("X-Call-Class", "");
         String tenant = headers.get("X-Caller");
-        String key = headers.get(ClientServer.IDEMPOTENCY_KEY_HEADER);
-        String budget = headers.get(ClientServer.BUDGET_HEADER, "");
-        Matcher consignee = DESTINATION_PATTERN.matcher(headers.get("X-Consignee", ""));
-        if (!IDENTIFIER_PATTERN.matcher(callId).matches() || !MILLIS_PATTERN.matcher(budget).matches()
-                || !consignee.matches() || key != null && !IDENTIFIER_PATTERN.matcher(key).matches()) {
+        String idempotencyKey = headers.get(ClientServer.IDEMPOTENCY_KEY_HEADER);
+        String budgetMillis = headers.get(ClientServer.BUDGET_HEADER, "");
+        Matcher destination = DESTINATION_PATTERN.matcher(headers.get("X-Consignee", ""));
+        if (!IDENTIFIER_PATTERN.matcher(callId).matches() || !MILLIS_PATTERN.matcher(budgetMillis).matches()
+                || !destination.matches()
+                || idempotencyKey != null && !IDENTIFIER_PATTERN.matcher(idempotencyKey).matches()) {
             return null;
         }
-        long deadline = earliestArrival + Long.parseLong(budget) * 1000;
-        return new Message.Content(callId, requestClass, tenant, key, deadline, Integer.parseInt(consignee.group(1)),
-                ByteBufUtil.getBytes(body));
+        long deadline = earliestArrival + Long.parseLong(budgetMillis) * 1000;
+        return new Message.Content(callId, requestClass, tenant, idempotencyKey, deadline,
+                Integer.parseInt(destination.group(1)), ByteBufUtil.getBytes(body));
     }
 }
--- a/src/main/java/drumdeal/relay/ClientServer.java
+++ b/src/main/java/drumdeal/relay/ClientServer.java
@@ -59,17 +59,17 @@
     /** When a client last connected, disconnected or was sent the end of its connection. */
     private long lastConnectionChangeNanos = System.nanoTime();
 
-    ClientServer(Engine engine, Clock clock, EventLoopMonitor loopMonitor, int mostConnections) {
+    ClientServer(Engine engine, Clock clock, EventLoopMonitor loopMonitor, int connectionLimit) {
         this.engine = engine;
         this.clock = clock;
         this.loopMonitor = loopMonitor;
-        configuredMaxConnections = mostConnections;
-        this.maxConnections = mostConnections;
+        configuredMaxConnections = connectionLimit;
+        this.maxConnections = connectionLimit;
     }
 
     /** Listens for clients at an address. */
     ChannelFuture listen(EventLoop loop, InetSocketAddress address) {
-        ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        ChannelFuture bindFuture = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, MAX_LISTEN_BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
                 // Lets the next version of the relay listen before this one has ended.
                 .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
@@ -80,8 +80,8 @@
                         ch.pipeline().addLast(new ClientConnection(ClientServer.this, engine, clock).handlers());
                     }
                 }).bind(address);
-        serverChannel = bound.channel();
-        return bound;
+        serverChannel = bindFuture.channel();
+        return bindFuture;
     }
 
     /**
@@ -101,9 +101,9 @@
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            boolean all = acceptedInPass < ctx.channel().metadata().defaultMaxMessagesPerRead();
+            boolean acceptedAll = acceptedInPass < ctx.channel().metadata().defaultMaxMessagesPerRead();
             earliestArrivalInPass = earliestConnectionArrival();
-            unacceptedSince = all ? Long.MAX_VALUE : earliestArrivalInPass;
+            unacceptedSince = acceptedAll ? Long.MAX_VALUE : earliestArrivalInPass;
             acceptedInPass = 0;
             ctx.fireChannelReadComplete();
         }
@@ -154,9 +154,9 @@
         draining = true;
         // Spread over time, so that fewer requests cross the end of their connection: a request that arrives before it
         // is answered, with "Connection: close". Connections that are idle for longest are used least and close first.
-        int place = 0;
+        int position = 0;
         for (ClientConnection connection : idleConnections) {
-            connection.scheduleIdleClose(IDLE_CLOSE_SPREAD_MILLIS * ++place / idleConnections.size());
+            connection.scheduleIdleClose(IDLE_CLOSE_SPREAD_MILLIS * ++position / idleConnections.size());
         }
     }
 
@@ -232,12 +232,12 @@
      */
     void onConnectionOpened(ClientConnection connection) {
         if (connections.size() >= maxConnections) {
-            ClientConnection first = findLeastActive(connection);
+            ClientConnection leastActive = findLeastActive(connection);
             // Removed now: its end is reported later, and more connections may be accepted in the same pass, so that
             // the limit would be exceeded.
-            onConnectionClosed(first);
-            first.close();
-            if (first == connection) {
+            onConnectionClosed(leastActive);
+            leastActive.close();
+            if (leastActive == connection) {
                 return;
             }
         }
@@ -251,17 +251,17 @@
      * {@code newest}.
      */
     private ClientConnection findLeastActive(ClientConnection newest) {
-        for (ClientConnection first : List.copyOf(connectionsAwaitingRequest)) {
+        for (ClientConnection oldest : List.copyOf(connectionsAwaitingRequest)) {
             // The last byte of its request may have arrived and not been read yet.
-            first.readNow();
-            if (!connectionsAwaitingRequest.isEmpty() && connectionsAwaitingRequest.iterator().next() == first) {
-                return first;
+            oldest.readNow();
+            if (!connectionsAwaitingRequest.isEmpty() && connectionsAwaitingRequest.iterator().next() == oldest) {
+                return oldest;
             }
         }
-        for (ClientConnection first : List.copyOf(idleConnections)) {
-            first.readNow();
-            if (!idleConnections.isEmpty() && idleConnections.iterator().next() == first) {
-                return first;
+        for (ClientConnection oldest : List.copyOf(idleConnections)) {
+            oldest.readNow();
+            if (!idleConnections.isEmpty() && idleConnections.iterator().next() == oldest) {
+                return oldest;
             }
         }
         return newest;
@@ -297,11 +297,11 @@
     }
 
     /**
-     * Counts {@code bytes} that a connection buffers for a request whose body has {@code request} bytes so far. False,
+     * Counts {@code bytes} that a connection buffers for a request whose body has {@code bodySize} bytes so far. False,
      * with nothing counted, where the limit would be exceeded; small requests are never refused.
      */
-    boolean tryReserveBuffer(int bytes, int request) {
-        if (bufferedBytes + bytes > MAX_BUFFERED_BYTES && request > MAX_SMALL_REQUEST_BYTES) {
+    boolean tryReserveBuffer(int bytes, int bodySize) {
+        if (bufferedBytes + bytes > MAX_BUFFERED_BYTES && bodySize > MAX_SMALL_REQUEST_BYTES) {
             return false;
         }
         bufferedBytes += bytes;
--- a/src/main/java/drumdeal/relay/DeadlineMargin.java
+++ b/src/main/java/drumdeal/relay/DeadlineMargin.java
@@ -26,10 +26,10 @@
     private long longestStall;
     private long longestStallAt = -STALL_RETENTION_MICROS;
 
-    /** The event loop has just stalled, for {@code span} microseconds up to {@code now}. */
-    void recordStall(long now, long span) {
-        if (span >= longestStall || isStallExpired(now)) {
-            longestStall = span;
+    /** The event loop has just stalled, for {@code stallMicros} up to {@code now}. */
+    void recordStall(long now, long stallMicros) {
+        if (stallMicros >= longestStall || isStallExpired(now)) {
+            longestStall = stallMicros;
             longestStallAt = now;
         }
     }
@@ -38,10 +38,10 @@
         return now - longestStallAt > STALL_RETENTION_MICROS;
     }
 
-    /** The margin of a message that has {@code left} microseconds until its client's deadline; never negative. */
-    long marginFor(long now, long left) {
+    /** The margin of a message that has {@code remainingMicros} until its client's deadline; never negative. */
+    long marginFor(long now, long remainingMicros) {
         long stall = isStallExpired(now) ? EXPECTED_STALL_MICROS : Math.max(EXPECTED_STALL_MICROS, longestStall);
-        return Math.max(0, Math.min(stall, left / MIN_TIME_TO_MARGIN_RATIO));
+        return Math.max(0, Math.min(stall, remainingMicros / MIN_TIME_TO_MARGIN_RATIO));
     }
 
     /**
@@ -49,11 +49,12 @@
      * deadline, so its time limit has to be shorter by as much.
      */
     static RequestTerms shortenDeadline(RequestTerms terms, long margin) {
-        RequestClass type = terms.requestClass();
+        RequestClass requestClass = terms.requestClass();
         // Where the goal is close to the deadline, the time limit stays above the goal: a class must not end before it.
-        long deadline = Math.max(type.goalMicros() + 1, type.timeLimitMicros() - margin);
-        return new RequestTerms(new RequestClass(type.name(), type.idempotency(), type.keyScope(),
-                type.dedupWindowMicros(), type.goalMicros(), deadline, type.value(), type.lateValueShare(),
-                type.orderedByKey()), terms.maxAttempts());
+        long timeLimit = Math.max(requestClass.goalMicros() + 1, requestClass.timeLimitMicros() - margin);
+        return new RequestTerms(new RequestClass(requestClass.name(), requestClass.idempotency(),
+                requestClass.keyScope(), requestClass.dedupWindowMicros(), requestClass.goalMicros(), timeLimit,
+                requestClass.value(), requestClass.lateValueShare(), requestClass.orderedByKey()),
+                terms.maxAttempts());
     }
 }
--- a/src/main/java/drumdeal/relay/Engine.java
+++ b/src/main/java/drumdeal/relay/Engine.java
@@ -83,14 +83,15 @@
     /** Makes discovery fetch the list sooner than scheduled. */
     private Runnable listRequester = () -> { };
 
-    Engine(EventLoop loop, Clock clock, Config config, Journal journal, Function<Policy.Settings, Policy> module) {
+    Engine(EventLoop loop, Clock clock, Config config, Journal journal,
+            Function<Policy.Settings, Policy> policyFactory) {
         this.loop = loop;
         this.clock = clock;
         diskBytes = config.diskBytes();
         settings = config.settings();
         roundDelayMicros = config.roundDelayMicros();
         this.journal = journal;
-        policy = module.apply(config.settings());
+        policy = policyFactory.apply(config.settings());
         hostClient = new HostClient(loop, clock, config, this);
         noticeSender = new NoticeSender(loop, new AgentClient(loop, config.discoveryAddress()),
                 this::onNoticeAcknowledged);
@@ -100,25 +101,25 @@
     }
 
     /** Sets what is run to make discovery fetch the route list sooner than scheduled. */
-    void setListRequester(Runnable ask) {
-        listRequester = ask;
+    void setListRequester(Runnable requester) {
+        listRequester = requester;
     }
 
     /** Replaces all settings. Messages accepted from now on are handled by the new ones. */
-    void reconfigure(Config next) {
-        settings = next.settings();
-        roundDelayMicros = next.roundDelayMicros();
+    void reconfigure(Config newConfig) {
+        settings = newConfig.settings();
+        roundDelayMicros = newConfig.roundDelayMicros();
         requestClasses.update(settings, clock.micros());
         stats.registerClasses(requestClasses.classNames());
         stats.countReload();
-        hostClient.applySettings(next);
-        noticeSender.moveTo(next.discoveryAddress());
+        hostClient.applySettings(newConfig);
+        noticeSender.moveTo(newConfig.discoveryAddress());
         addEvent(new Policy.SettingsChanged(settings));
     }
 
     /** The event loop has just stalled, for a time in microseconds. */
-    void onLoopStall(long span) {
-        deadlineMargin.recordStall(clock.micros(), span);
+    void onLoopStall(long stallMicros) {
+        deadlineMargin.recordStall(clock.micros(), stallMicros);
     }
 
     /** A new configuration was invalid and is not used. */
@@ -127,31 +128,31 @@
     }
 
     /**
-     * Restores the route list known from before ({@code known} may be empty), what an earlier process learned of its
-     * routes, and the unfinished messages of the journal.
+     * Restores the route list known from before ({@code knownTargets} may be empty), what an earlier process learned of
+     * its routes, and the unfinished messages of the journal.
      */
-    void start(long knownVersion, List<Target> known, Path health) {
+    void start(long knownVersion, List<Target> knownTargets, Path stateFolder) {
         loop.scheduleAtFixedRate(this::logCounters, COUNTERS_LOG_INTERVAL_MILLIS, COUNTERS_LOG_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
-        if (!known.isEmpty()) {
-            updateTargets(Policy.RouteListUpdateType.CACHED, knownVersion, known);
+        if (!knownTargets.isEmpty()) {
+            updateTargets(Policy.RouteListUpdateType.CACHED, knownVersion, knownTargets);
         }
-        byte[] learned = RouteStateFile.read(health, clock.micros(), diskBytes);
-        if (learned != null) {
-            addEvent(new Policy.LearnedStateRestored(learned, 0));
+        byte[] learnedState = RouteStateFile.read(stateFolder, clock.micros(), diskBytes);
+        if (learnedState != null) {
+            addEvent(new Policy.LearnedStateRestored(learnedState, 0));
             addEvent(new Policy.PredecessorEnded());
         }
-        loop.scheduleAtFixedRate(() -> writeRouteState(health), ROUTE_STATE_WRITE_INTERVAL_MILLIS,
+        loop.scheduleAtFixedRate(() -> writeRouteState(stateFolder), ROUTE_STATE_WRITE_INTERVAL_MILLIS,
                 ROUTE_STATE_WRITE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         journal.unfinishedMessages().forEach(this::resumeMessage);
     }
 
-    private void writeRouteState(Path health) {
+    private void writeRouteState(Path stateFolder) {
         // While another process takes the decisions, this one learns nothing more: its state would be written with the
         // current time although it is out of date.
         if (!decisionsSuspended) {
             journal.reserveForOtherFiles(
-                    RouteStateFile.write(health, policy.encodeLearnedState(), clock.micros(), diskBytes));
+                    RouteStateFile.write(stateFolder, policy.encodeLearnedState(), clock.micros(), diskBytes));
         }
     }
 
@@ -169,31 +170,31 @@
 
     private void addResumedEvent(Message message) {
         addEvent(new Policy.RequestResumed(acceptedEvent(message), message.attempts.stream()
-                .map(a -> new Policy.PastAttempt(a.route, a.sentAt, a.result)).toList()));
+                .map(attempt -> new Policy.PastAttempt(attempt.route, attempt.sentAt, attempt.result)).toList()));
     }
 
     /** Resumes the unfinished messages of a process that has ended. This process holds the lock of the folder now. */
     @Override
-    public void adoptFolder(StateFolder.LockedFolder part) throws IOException {
-        List<Message> left = Journal.readUnfinishedMessages(part.folder(), diskBytes);
+    public void adoptFolder(StateFolder.LockedFolder lockedFolder) throws IOException {
+        List<Message> unfinished = Journal.readUnfinishedMessages(lockedFolder.folder(), diskBytes);
         journal.useWholeDisk();
         // The other process may have handed a message over and ended before it could record that in its journal.
-        left.stream().filter(message -> !messagesByCallId.containsKey(message.content.callId()))
+        unfinished.stream().filter(message -> !messagesByCallId.containsKey(message.content.callId()))
                 .forEach(message -> resumeMessage(renumberAndJournal(message)));
-        Journal.deleteSegments(part.folder());
-        if (!left.isEmpty()) {
-            Log.write("adopted " + left.size() + " messages that another process left");
+        Journal.deleteSegments(lockedFolder.folder());
+        if (!unfinished.isEmpty()) {
+            Log.write("adopted " + unfinished.size() + " messages that another process left");
         }
         addEvent(new Policy.PredecessorEnded());
     }
 
     /** Gives a message of another process a number of this one and records it in this one's journal. */
     private Message renumberAndJournal(Message message) {
-        Message own = message.withNumber(nextNumber++);
-        if (!journal.recordAdopted(own)) {
+        Message renumbered = message.withNumber(nextNumber++);
+        if (!journal.recordAdopted(renumbered)) {
             Log.write("no room to record message " + message.content.callId() + " of another process");
         }
-        return own;
+        return renumbered;
     }
 
     @Override
@@ -210,20 +211,22 @@
     }
 
     @Override
-    public void applySnapshot(HandoverSnapshot standing) {
+    public void applySnapshot(HandoverSnapshot snapshot) {
         journal.shareDisk(false);
-        if (!listReceived && !standing.targets().isEmpty()) {
-            updateTargets(Policy.RouteListUpdateType.CACHED, standing.listVersion(), standing.targets());
+        if (!listReceived && !snapshot.targets().isEmpty()) {
+            updateTargets(Policy.RouteListUpdateType.CACHED, snapshot.listVersion(), snapshot.targets());
         }
-        addEvent(new Policy.LearnedStateRestored(standing.learnedState(), standing.callsInFlight()));
+        addEvent(new Policy.LearnedStateRestored(snapshot.learnedState(), snapshot.callsInFlight()));
     }
 
     @Override
-    public void onPredecessorOutcome(String route, Result result, long wait, long elapsed, int callsOut) {
-        if (wait > 0) {
-            hostClient.applyRetryAfter(route, wait);
+    public void onPredecessorOutcome(String route, Result result, long retryAfterMicros, long elapsedMicros,
+            int predecessorCallsInFlight) {
+        if (retryAfterMicros > 0) {
+            hostClient.applyRetryAfter(route, retryAfterMicros);
         }
-        addEvent(new Policy.PredecessorCallEnded(route, result, wait, elapsed, callsOut));
+        addEvent(new Policy.PredecessorCallEnded(route, result, retryAfterMicros, elapsedMicros,
+                predecessorCallsInFlight));
     }
 
     void reserveDescriptors(int descriptors) {
@@ -232,13 +235,13 @@
 
     /**
      * Runs a last round and returns the state that another process needs to take the decisions. Later events are kept
-     * for the round after {@link #resumeDecisions}. {@code clients} is the number of client connections.
+     * for the round after {@link #resumeDecisions}.
      */
-    HandoverSnapshot suspendDecisions(int clients) {
+    HandoverSnapshot suspendDecisions(int clientConnections) {
         runRound();
         decisionsSuspended = true;
         return new HandoverSnapshot(listVersion, hostClient.targets(), policy.encodeLearnedState(),
-                hostClient.callsInFlight(), clients + hostClient.connections());
+                hostClient.callsInFlight(), clientConnections + hostClient.connections());
     }
 
     /** Takes decisions again, starting with a round for the events that were kept. */
@@ -260,9 +263,9 @@
 
     /** Offers a message whose end is open, whose client has its response, and that has no attempt in flight. */
     private void offerToSuccessor(Message message) {
-        boolean atRest = message.pendingReply == null && message.nonDelivery == null && !message.finished
+        boolean transferable = message.pendingReply == null && message.nonDelivery == null && !message.finished
                 && !message.hasAttemptsInFlight();
-        if (successor != null && atRest) {
+        if (successor != null && transferable) {
             successor.offer(message);
         }
     }
@@ -291,14 +294,15 @@
 
     /** Log text that names the destination that most messages wait for; empty where no two wait for the same one. */
     private String mostAwaitedDestination() {
-        Map<Integer, Integer> waiting = new HashMap<>();
+        Map<Integer, Integer> waitingByDestination = new HashMap<>();
         for (Message message : messagesByNumber.values()) {
             if (!message.hasAttemptsInFlight() && message.nonDelivery == null) {
-                waiting.merge(message.content.destination(), 1, Integer::sum);
+                waitingByDestination.merge(message.content.destination(), 1, Integer::sum);
             }
         }
-        return waiting.entrySet().stream().max(Map.Entry.comparingByValue()).filter(most -> most.getValue() > 1)
-                .map(most -> ", " + most.getValue() + " wait for destination " + most.getKey()).orElse("");
+        return waitingByDestination.entrySet().stream().max(Map.Entry.comparingByValue())
+                .filter(entry -> entry.getValue() > 1)
+                .map(entry -> ", " + entry.getValue() + " wait for destination " + entry.getKey()).orElse("");
     }
 
     /** True once a route list is known, so that messages can be accepted. */
@@ -335,8 +339,8 @@
      * idempotency key that its class needs, and where discovery has sent its list and the destination is unknown.
      */
     Policy.RequestTerms termsFor(Message.Content content) {
-        boolean mayBeReached = knownDestinations.contains(content.destination()) || !listReceived;
-        return mayBeReached ? requestClasses.termsFor(content, clock.micros()) : null;
+        boolean destinationMayExist = knownDestinations.contains(content.destination()) || !listReceived;
+        return destinationMayExist ? requestClasses.termsFor(content, clock.micros()) : null;
     }
 
     /**
@@ -346,42 +350,43 @@
      * round the client is told so in the response.
      */
     Message acceptMessage(Message.Content content, Policy.RequestTerms terms, long unreadSince,
-            Message.ClientReply client) {
-        Message same = messagesByCallId.get(content.callId());
-        if (same != null) {
+            Message.ClientReply reply) {
+        Message existing = messagesByCallId.get(content.callId());
+        if (existing != null) {
             // A client resends a request after its connection closed before the response. The message is held
             // already, so it is confirmed, unless its first client may still withdraw it or its end is decided.
-            if (same.pendingReply == null && same.nonDelivery == null && !same.finished) {
-                client.sendAccepted();
+            if (existing.pendingReply == null && existing.nonDelivery == null && !existing.finished) {
+                reply.sendAccepted();
             } else {
-                client.sendFailed();
+                reply.sendFailed();
             }
             return null;
         }
         // A list from before a restart may lack a newer destination, so the client is told to retry.
-        boolean reachable = knownDestinations.contains(content.destination());
+        boolean destinationKnown = knownDestinations.contains(content.destination());
         // Rejects a request that may have lain unread too long: a relay so short of CPU can't deliver what it accepts,
         // and the client may have stopped waiting. A request that has only just arrived can be rejected too, as
         // nothing but its earliest possible arrival is known.
         long now = clock.micros();
-        boolean behind = now - unreadSince > MAX_READ_DELAY_MICROS;
+        boolean unreadTooLong = now - unreadSince > MAX_READ_DELAY_MICROS;
         long margin = deadlineMargin.marginFor(now, content.deadline() - now);
         Message message = new Message(nextNumber, content.withEarlierDeadline(margin),
                 DeadlineMargin.shortenDeadline(terms, margin));
         message.clientDeadline = content.deadline();
-        String obstacle = !ready ? "not ready" : behind ? "behind" : !reachable ? "unknown destination"
+        String rejectionReason = !ready ? "not ready" : unreadTooLong ? "behind"
+                : !destinationKnown ? "unknown destination"
                 : openMessageCount >= settings.limits().maxOpenRequests() ? "full"
                 : !journal.recordAccepted(message) ? "no disk" : null;
-        if (obstacle != null) {
-            counters.count("turned away: " + obstacle);
+        if (rejectionReason != null) {
+            counters.count("turned away: " + rejectionReason);
             stats.countRejected(content.requestClass());
-            client.sendRejected(RETRY_AFTER_MICROS);
+            reply.sendRejected(RETRY_AFTER_MICROS);
             return null;
         }
         counters.count("taken");
         nextNumber++;
         openMessageCount++;
-        message.pendingReply = client;
+        message.pendingReply = reply;
         indexMessage(message);
         acceptedThisRound.add(message);
         startOverdueTimer(message);
@@ -437,23 +442,23 @@
     private void runRound() {
         roundScheduled = false;
         long now = clock.micros();
-        List<Message> arrived = acceptedThisRound;
+        List<Message> accepted = acceptedThisRound;
         acceptedThisRound = new ArrayList<>();
         try {
             if (!decisionsSuspended) {
-                List<Event> came = pendingEvents;
+                List<Event> events = pendingEvents;
                 pendingEvents = new ArrayList<>();
-                policy.onRound(now, came, this);
+                policy.onRound(now, events, this);
             }
         } catch (RuntimeException e) {
             // One bad event must not end the relay and with it the delivery of all its messages.
             Log.write("a round failed: " + e + " at " + List.of(e.getStackTrace()).stream().findFirst().orElse(null));
         }
-        for (Message message : arrived) {
+        for (Message message : accepted) {
             if (message.pendingReply != null) {
-                Message.ClientReply client = message.pendingReply;
+                Message.ClientReply reply = message.pendingReply;
                 message.pendingReply = null;
-                client.sendAccepted();
+                reply.sendAccepted();
             }
             offerToSuccessor(message);
         }
@@ -472,7 +477,7 @@
     }
 
     @Override
-    public void startAttempt(long id, String route, long timeout, long until) {
+    public void startAttempt(long id, String route, long timeout, long sendDeadline) {
         Message message = messagesByNumber.get(id);
         if (message == null || message.nonDelivery != null) {
             return;
@@ -481,18 +486,20 @@
         Message.Attempt attempt = message.addAttempt(route, now);
         message.attemptStarted();
         attemptsInFlight++;
-        long left = message.content.deadline() - now;
-        if (left <= 0 || !journal.recordAttempt(attempt)) {
+        long remainingMicros = message.content.deadline() - now;
+        if (remainingMicros <= 0 || !journal.recordAttempt(attempt)) {
             // An attempt that is not in the journal is not sent: after a restart the relay would not know of it.
             attemptEnded(attempt, Result.NOT_SENT, false, 0, LimitReport.NONE);
             return;
         }
         outgoingByRoute.computeIfAbsent(route, r -> new ArrayList<>())
-                .add(new HostClient.OutgoingAttempt(attempt, timeout > 0 ? Math.min(timeout, left) : left, until));
+                .add(new HostClient.OutgoingAttempt(attempt,
+                        timeout > 0 ? Math.min(timeout, remainingMicros) : remainingMicros, sendDeadline));
     }
 
     @Override
-    public void attemptEnded(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report) {
+    public void attemptEnded(Message.Attempt attempt, Result result, boolean endsMessage, long retryAfterMicros,
+            LimitReport report) {
         Message message = attempt.message;
         counters.count(result.name());
         attempt.result = result;
@@ -503,7 +510,7 @@
             // A delivery after the client's deadline does not count as one: the message has failed.
             journal.recordResult(attempt);
             endUndelivered(message.number, new Message.NonDelivery(false, 0));
-        } else if (over && message.nonDelivery == null && !message.finished) {
+        } else if (endsMessage && message.nonDelivery == null && !message.finished) {
             if (result == Result.OK) {
                 stats.countCompleted(message.content.requestClass());
             } else {
@@ -513,13 +520,13 @@
         } else if (!message.finished) {
             journal.recordResult(attempt);
         }
-        boolean closed = message.finished || message.nonDelivery != null;
-        long elapsed = clock.micros() - attempt.sentAt;
+        boolean requestClosed = message.finished || message.nonDelivery != null;
+        long elapsedMicros = clock.micros() - attempt.sentAt;
         if (successor == null) {
-            addEvent(new Policy.AttemptEnded(message.number, attempt.number, attempt.route, result, closed, wait,
-                    elapsed, report));
+            addEvent(new Policy.AttemptEnded(message.number, attempt.number, attempt.route, result, requestClosed,
+                    retryAfterMicros, elapsedMicros, report));
         } else {
-            successor.sendOutcome(attempt.route, result, wait, elapsed, hostClient.callsInFlight());
+            successor.sendOutcome(attempt.route, result, retryAfterMicros, elapsedMicros, hostClient.callsInFlight());
             offerToSuccessor(message);
         }
         removeIfSettled(message);
@@ -531,8 +538,8 @@
     }
 
     @Override
-    public void probeEnded(String route, Result result, long wait, long elapsed, LimitReport report) {
-        addEvent(new Policy.ProbeEnded(route, result, wait, elapsed, report));
+    public void probeEnded(String route, Result result, long retryAfterMicros, long elapsedMicros, LimitReport report) {
+        addEvent(new Policy.ProbeEnded(route, result, retryAfterMicros, elapsedMicros, report));
     }
 
     /** Closes a message for which neither a delivery nor a notice is outstanding. */
@@ -557,13 +564,13 @@
      * Ends a message without delivery, unless its end is decided. A client that still waits gets the end as its
      * response; otherwise the platform gets a notice.
      */
-    private void endUndelivered(long id, Message.NonDelivery end) {
+    private void endUndelivered(long id, Message.NonDelivery nonDelivery) {
         Message message = messagesByNumber.get(id);
         if (message == null || message.nonDelivery != null || message.finished) {
             return;
         }
-        message.nonDelivery = end;
-        if (end.rejected()) {
+        message.nonDelivery = nonDelivery;
+        if (nonDelivery.rejected()) {
             counters.count("refused");
             stats.countRejected(message.content.requestClass());
         } else {
@@ -577,13 +584,13 @@
             noticeSender.send(message);
             return;
         }
-        Message.ClientReply client = message.pendingReply;
+        Message.ClientReply reply = message.pendingReply;
         message.pendingReply = null;
         finishMessage(message);
-        if (end.rejected()) {
-            client.sendRejected(end.retryAfter());
+        if (nonDelivery.rejected()) {
+            reply.sendRejected(nonDelivery.retryAfter());
         } else {
-            client.sendFailed();
+            reply.sendFailed();
         }
     }
 
@@ -595,23 +602,23 @@
     }
 
     @Override
-    public void updateTargets(Policy.RouteListUpdateType kind, long version, List<Target> targets) {
+    public void updateTargets(Policy.RouteListUpdateType type, long version, List<Target> targets) {
         targets.forEach(target -> knownDestinations.add(target.listed().destination()));
-        hostClient.updateTargets(kind, targets);
+        hostClient.updateTargets(type, targets);
         ready = true;
         listVersion = version;
-        listReceived |= kind != Policy.RouteListUpdateType.CACHED;
-        addEvent(new Policy.RouteListUpdate(kind, version, targets.stream().map(Target::listed).toList()));
+        listReceived |= type != Policy.RouteListUpdateType.CACHED;
+        addEvent(new Policy.RouteListUpdate(type, version, targets.stream().map(Target::listed).toList()));
     }
 
     /**
-     * The list counts as delivered in {@code in} microseconds; routes that drain may be used for the drain grace after
+     * The list counts as delivered in {@code dueInMicros}; routes that drain may be used for the drain grace after
      * that. Half of the grace is kept in reserve, for a reload signal that was read late.
      */
     @Override
-    public void listStale(long in) {
+    public void listStale(long dueInMicros) {
         long now = clock.micros();
-        addEvent(new Policy.RouteListStale(now, now + in + settings.rules().drainGraceMicros() / 2));
+        addEvent(new Policy.RouteListStale(now, now + dueInMicros + settings.rules().drainGraceMicros() / 2));
     }
 
     @Override
@@ -623,8 +630,8 @@
     }
 
     @Override
-    public void rejectRequest(long id, long retryIn) {
-        endUndelivered(id, new Message.NonDelivery(true, retryIn));
+    public void rejectRequest(long id, long retryAfterMicros) {
+        endUndelivered(id, new Message.NonDelivery(true, retryAfterMicros));
     }
 
     @Override
@@ -633,8 +640,8 @@
     }
 
     @Override
-    public void setTimer(long name, long delay) {
-        loop.schedule(() -> addEvent(new Policy.TimerFired(name)), delay, TimeUnit.MICROSECONDS);
+    public void setTimer(long timer, long delayMicros) {
+        loop.schedule(() -> addEvent(new Policy.TimerFired(timer)), delayMicros, TimeUnit.MICROSECONDS);
     }
 
     @Override
--- a/src/main/java/drumdeal/relay/EventLoopMonitor.java
+++ b/src/main/java/drumdeal/relay/EventLoopMonitor.java
@@ -27,11 +27,11 @@
     private long previousCheckAt;
     private final LongConsumer onStall;
 
-    /** Passes the length of each stall, in microseconds, to {@code stalls}. */
-    EventLoopMonitor(EventLoop loop, Clock clock, LongConsumer stalls) {
+    /** Passes the length of each stall, in microseconds, to {@code onStall}. */
+    EventLoopMonitor(EventLoop loop, Clock clock, LongConsumer onStall) {
         this.loop = loop;
         this.clock = clock;
-        this.onStall = stalls;
+        this.onStall = onStall;
         lastCheckAt = clock.micros();
         previousCheckAt = lastCheckAt;
     }
--- a/src/main/java/drumdeal/relay/IntervalCounters.java
+++ b/src/main/java/drumdeal/relay/IntervalCounters.java
@@ -8,13 +8,13 @@
 final class IntervalCounters {
     private final Map<String, Integer> counts = new LinkedHashMap<>();
 
-    void count(String what) {
-        counts.merge(what, 1, Integer::sum);
+    void count(String name) {
+        counts.merge(name, 1, Integer::sum);
     }
 
     /** Formats all counts for the log and resets them; empty where nothing was counted. */
     String formatAndReset() {
-        String text = counts.entrySet().stream().map(e -> e.getKey() + " " + e.getValue())
+        String text = counts.entrySet().stream().map(entry -> entry.getKey() + " " + entry.getValue())
                 .collect(Collectors.joining(", "));
         counts.clear();
         return text;
--- a/src/main/java/drumdeal/relay/Log.java
+++ b/src/main/java/drumdeal/relay/Log.java
@@ -16,18 +16,18 @@
     static void write(String text) {
         // A peer could otherwise make the relay write more than the reader of the log takes.
         if (countAndCheckLimit(System.nanoTime() / NANOS_PER_SECOND)) {
-            String flat = text.length() > MAX_LINE_LENGTH ? text.substring(0, MAX_LINE_LENGTH) : text;
-            System.err.println("drumdeal: " + flat.replaceAll("\\p{Cntrl}", "?"));
+            String line = text.length() > MAX_LINE_LENGTH ? text.substring(0, MAX_LINE_LENGTH) : text;
+            System.err.println("drumdeal: " + line.replaceAll("\\p{Cntrl}", "?"));
         }
     }
 
     /** Counts a line in the second {@code now}; false where that second has had its lines. */
-    private static synchronized boolean countAndCheckLimit(long now) {
-        if (now != currentSecond) {
+    private static synchronized boolean countAndCheckLimit(long second) {
+        if (second != currentSecond) {
             if (linesThisSecond > MAX_LINES_PER_SECOND) {
                 System.err.println("drumdeal: " + (linesThisSecond - MAX_LINES_PER_SECOND) + " lines left out");
             }
-            currentSecond = now;
+            currentSecond = second;
             linesThisSecond = 0;
         }
         return ++linesThisSecond <= MAX_LINES_PER_SECOND;
--- a/src/main/java/drumdeal/relay/Message.java
+++ b/src/main/java/drumdeal/relay/Message.java
@@ -70,8 +70,8 @@
     }
 
     /** A copy, with attempts and end, under a number of another journal. */
-    Message withNumber(long next) {
-        Message copy = new Message(next, content, terms);
+    Message withNumber(long newNumber) {
+        Message copy = new Message(newNumber, content, terms);
         attempts.forEach(attempt -> copy.addAttempt(attempt.route, attempt.sentAt).result = attempt.result);
         copy.nonDelivery = nonDelivery;
         return copy;
@@ -99,8 +99,8 @@
     interface ClientReply {
         void sendAccepted();
 
-        /** The client may submit the message again, after {@code retryIn} microseconds where that is above 0. */
-        void sendRejected(long retryIn);
+        /** The client may submit the message again, after {@code retryAfterMicros} where that is above 0. */
+        void sendRejected(long retryAfterMicros);
 
         /** The message is not delivered, and may have taken effect. */
         void sendFailed();
--- a/src/main/java/drumdeal/relay/NoticeSender.java
+++ b/src/main/java/drumdeal/relay/NoticeSender.java
@@ -49,9 +49,9 @@
     private int consecutiveFailures;
 
     /** Passes each message whose notice was acknowledged to a consumer. */
-    NoticeSender(EventLoop loop, Discovery.Agent agent, Consumer<Message> heard) {
+    NoticeSender(EventLoop loop, Discovery.Agent agent, Consumer<Message> onAcknowledged) {
         this.loop = loop;
-        this.onAcknowledged = heard;
+        this.onAcknowledged = onAcknowledged;
         this.agent = agent;
     }
 
@@ -71,9 +71,9 @@
     private void sendNextBatch() {
         sending = !unacknowledged.isEmpty();
         if (sending) {
-            List<Message> told = unacknowledged.values().stream().limit(batchLimit).toList();
-            agent.request(HttpMethod.POST, "/status", toJsonLines(told), timeoutMillis(),
-                    (status, body) -> onResponse(told, status));
+            List<Message> batch = unacknowledged.values().stream().limit(batchLimit).toList();
+            agent.request(HttpMethod.POST, "/status", toJsonLines(batch), timeoutMillis(),
+                    (status, body) -> onResponse(batch, status));
         }
     }
 
@@ -81,17 +81,17 @@
         return Math.min(MAX_TIMEOUT_MILLIS, INITIAL_TIMEOUT_MILLIS << Math.min(consecutiveFailures, Byte.SIZE));
     }
 
-    private void onResponse(List<Message> told, int status) {
+    private void onResponse(List<Message> batch, int status) {
         // A notice that the platform can't read would hold up all others, so it is given up once it was sent alone.
-        boolean lost = status == STATUS_BAD_REQUEST && told.size() == 1;
-        if (status == STATUS_NO_CONTENT || lost) {
-            if (lost) {
-                Log.write("the notice of message " + told.get(0).content.callId() + " was not understood");
+        boolean givenUp = status == STATUS_BAD_REQUEST && batch.size() == 1;
+        if (status == STATUS_NO_CONTENT || givenUp) {
+            if (givenUp) {
+                Log.write("the notice of message " + batch.get(0).content.callId() + " was not understood");
             }
             batchLimit = MAX_NOTICES_PER_REQUEST;
             consecutiveFailures = 0;
-            told.forEach(message -> unacknowledged.remove(message.number));
-            told.forEach(onAcknowledged);
+            batch.forEach(message -> unacknowledged.remove(message.number));
+            batch.forEach(onAcknowledged);
             sendNextBatch();
             return;
         }
@@ -109,9 +109,9 @@
     }
 
     /** One JSON object a line; waits are rounded up to milliseconds. */
-    private String toJsonLines(List<Message> told) {
+    private String toJsonLines(List<Message> batch) {
         StringWriter text = new StringWriter();
-        for (Message message : told) {
+        for (Message message : batch) {
             try (JsonGenerator line = json.createGenerator(text)) {
                 line.writeStartObject();
                 line.writeStringField("ref", message.content.callId());
--- a/src/main/java/drumdeal/relay/Relay.java
+++ b/src/main/java/drumdeal/relay/Relay.java
@@ -94,16 +94,16 @@
      * else as soon as each has sent its state or does not answer.
      */
     private void takeOverFromPredecessors() {
-        for (Path part : stateFolder.otherFolders()) {
-            try (StateFolder.LockedFolder left = StateFolder.tryLock(part)) {
-                if (left != null) {
-                    engine.adoptFolder(left);
+        for (Path folder : stateFolder.otherFolders()) {
+            try (StateFolder.LockedFolder lockedFolder = StateFolder.tryLock(folder)) {
+                if (lockedFolder != null) {
+                    engine.adoptFolder(lockedFolder);
                 } else {
-                    predecessors.add(new PredecessorLink(loop, part, engine, this::onPredecessorAnswered,
+                    predecessors.add(new PredecessorLink(loop, folder, engine, this::onPredecessorAnswered,
                             this::onPredecessorGone));
                 }
             } catch (IOException e) {
-                Log.write("what is left in " + part.getFileName() + " can't be adopted: " + e.getMessage());
+                Log.write("what is left in " + folder.getFileName() + " can't be adopted: " + e.getMessage());
             }
         }
         pendingPredecessors = predecessors.size();
@@ -117,11 +117,11 @@
      * A predecessor has sent its state, or null where it has not answered. Until it has ended, the limit of descriptors
      * holds for both processes together: half of what it uses is taken from clients, half from hosts.
      */
-    private void onPredecessorAnswered(HandoverSnapshot standing) {
-        if (standing != null) {
-            int taken = Config.descriptorsFor(standing.connections());
-            clientServer.reserveDescriptors(taken / 2);
-            engine.reserveDescriptors(taken - taken / 2);
+    private void onPredecessorAnswered(HandoverSnapshot snapshot) {
+        if (snapshot != null) {
+            int descriptors = Config.descriptorsFor(snapshot.connections());
+            clientServer.reserveDescriptors(descriptors / 2);
+            engine.reserveDescriptors(descriptors - descriptors / 2);
         }
         if (--pendingPredecessors == 0) {
             listenForClients();
@@ -137,15 +137,15 @@
         if (stopDeadlineNanos != 0) {
             return;
         }
-        ChannelFuture bound = clientServer.listen(loop, config.listenAddress());
-        bound.addListener(done -> {
-            if (done.isSuccess()) {
-                Log.write("serving on " + bound.channel().localAddress());
+        ChannelFuture bindFuture = clientServer.listen(loop, config.listenAddress());
+        bindFuture.addListener(future -> {
+            if (future.isSuccess()) {
+                Log.write("serving on " + bindFuture.channel().localAddress());
                 listening = true;
                 predecessors.forEach(PredecessorLink::sendListening);
                 servingPromise.setSuccess(null);
             } else {
-                servingPromise.setFailure(done.cause());
+                servingPromise.setFailure(future.cause());
             }
         });
     }
@@ -195,19 +195,19 @@
 
     /** Applies the settings and the address of discovery; the relay's own addresses and limits stay as they are. */
     @Override
-    public void onConfigReloaded(Config next) {
+    public void onConfigReloaded(Config newConfig) {
         loop.execute(() -> {
-            Log.write("new settings, " + next.settings().classes().size() + " classes; discovery is at "
-                    + next.discoveryAddress());
-            engine.reconfigure(next);
-            discovery.moveTo(next.discoveryAddress(), next.settings());
+            Log.write("new settings, " + newConfig.settings().classes().size() + " classes; discovery is at "
+                    + newConfig.discoveryAddress());
+            engine.reconfigure(newConfig);
+            discovery.moveTo(newConfig.discoveryAddress(), newConfig.settings());
         });
     }
 
     @Override
-    public void onConfigRejected(String why) {
+    public void onConfigRejected(String reason) {
         loop.execute(() -> {
-            Log.write("the old configuration stays in force: " + why);
+            Log.write("the old configuration stays in force: " + reason);
             engine.onReloadFailed();
         });
     }
@@ -265,23 +265,23 @@
 
     /** Lets the process end once messages and clients allow it, or at the time-out; polls until then. */
     private void exitWhenDrained() {
-        boolean late = System.nanoTime() >= stopDeadlineNanos;
+        boolean timedOut = System.nanoTime() >= stopDeadlineNanos;
         // During a handover the process waits until all messages are handed over: the successor would have to adopt
         // those left behind all at once.
-        boolean done = engine.hasNoMessages()
+        boolean drained = engine.hasNoMessages()
                 || !successor.isCommitted() && engine.hasStoppedNewAttempts() && engine.hasNothingInFlight();
-        if (late || done && clientServer.hasNoActiveClients(RECONNECT_GRACE_MILLIS)) {
+        if (timedOut || drained && clientServer.hasNoActiveClients(RECONNECT_GRACE_MILLIS)) {
             // Clients may have connected, or sent a request, since the loop last polled.
             clientServer.stopListening();
             clientServer.readNow();
         }
-        if (late) {
+        if (timedOut) {
             clientServer.rejectIncompleteRequests();
         }
-        boolean left = clientServer.connectionCount() == 0
+        boolean clientsGone = clientServer.connectionCount() == 0
                 || System.nanoTime() >= stopDeadlineNanos + TimeUnit.MILLISECONDS.toNanos(REJECTION_GRACE_MILLIS);
-        if (clientServer.hasStoppedListening() && (done && clientServer.hasNoActiveClients()
-                || late && !clientServer.hasPendingResponses() && left)) {
+        if (clientServer.hasStoppedListening() && (drained && clientServer.hasNoActiveClients()
+                || timedOut && !clientServer.hasPendingResponses() && clientsGone)) {
             exitLatch.countDown();
         } else {
             loop.schedule(this::exitWhenDrained, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/main/java/drumdeal/relay/RequestClassRegistry.java
+++ b/src/main/java/drumdeal/relay/RequestClassRegistry.java
@@ -35,8 +35,9 @@
 
     private void applySettings(Policy.Settings settings) {
         currentTerms = new HashMap<>();
-        int attempts = settings.limits().maxAttempts();
-        settings.classes().forEach(type -> currentTerms.put(type.name(), new RequestTerms(type, attempts)));
+        int maxAttempts = settings.limits().maxAttempts();
+        settings.classes().forEach(requestClass ->
+                currentTerms.put(requestClass.name(), new RequestTerms(requestClass, maxAttempts)));
         tenants.clear();
         settings.tenants().forEach(tenant -> tenants.add(tenant.name()));
     }
@@ -57,37 +58,42 @@
         if (!tenants.isEmpty() && !tenants.contains(content.tenant())) {
             return null;
         }
-        RequestTerms fresh = currentTerms.get(content.requestClass());
-        RequestTerms old = now - changedAt < CHANGEOVER_MICROS ? previousTerms.get(content.requestClass()) : null;
-        RequestTerms terms = fresh == null ? old : old == null || old.equals(fresh) ? fresh : stricter(old, fresh);
+        RequestTerms current = currentTerms.get(content.requestClass());
+        RequestTerms previous = now - changedAt < CHANGEOVER_MICROS ? previousTerms.get(content.requestClass()) : null;
+        RequestTerms terms = current == null ? previous
+                : previous == null || previous.equals(current) ? current : stricter(previous, current);
         if (terms == null || terms.requestClass().idempotency() != Idempotency.BY_KEY
                 || content.idempotencyKey() != null) {
             return terms;
         }
         // A client that still uses the previous settings may have no key to send: its message may take effect once.
-        return old == null || old.equals(fresh) ? null : new RequestTerms(
+        return previous == null || previous.equals(current) ? null : new RequestTerms(
                 combineKeyRules(terms.requestClass(), Idempotency.ONCE, terms.requestClass()), terms.maxAttempts());
     }
 
     /** Terms that follow both the previous and the new rules on repetition and on the number of attempts. */
-    private static RequestTerms stricter(RequestTerms old, RequestTerms fresh) {
-        Idempotency repeat = old.requestClass().idempotency().compareTo(fresh.requestClass().idempotency()) > 0
-                ? old.requestClass().idempotency() : fresh.requestClass().idempotency();
-        return new RequestTerms(combineKeyRules(fresh.requestClass(), repeat, old.requestClass()),
-                Math.min(old.maxAttempts(), fresh.maxAttempts()));
+    private static RequestTerms stricter(RequestTerms previous, RequestTerms current) {
+        Idempotency idempotency =
+                previous.requestClass().idempotency().compareTo(current.requestClass().idempotency()) > 0
+                ? previous.requestClass().idempotency() : current.requestClass().idempotency();
+        return new RequestTerms(combineKeyRules(current.requestClass(), idempotency, previous.requestClass()),
+                Math.min(previous.maxAttempts(), current.maxAttempts()));
     }
 
     /**
-     * The class {@code type} with the given idempotency and with key rules that satisfy both classes: the narrowest key
-     * scope where the two differ, the shorter window, and order by key where either asks for it.
+     * The class {@code requestClass} with the given idempotency and with key rules that satisfy both classes: the
+     * narrowest key scope where the two differ, the shorter window, and order by key where either asks for it.
      */
-    private static RequestClass combineKeyRules(RequestClass type, Idempotency repeat, RequestClass other) {
-        boolean bothKeyed = type.idempotency() == Idempotency.BY_KEY && other.idempotency() == Idempotency.BY_KEY;
-        RequestClass keyed = type.idempotency() == Idempotency.BY_KEY ? type : other;
-        KeyScope scope = bothKeyed && type.keyScope() != other.keyScope() ? KeyScope.CELL : keyed.keyScope();
-        long window = bothKeyed ? Math.min(type.dedupWindowMicros(), other.dedupWindowMicros())
+    private static RequestClass combineKeyRules(RequestClass requestClass, Idempotency idempotency,
+            RequestClass other) {
+        boolean bothKeyed = requestClass.idempotency() == Idempotency.BY_KEY
+                && other.idempotency() == Idempotency.BY_KEY;
+        RequestClass keyed = requestClass.idempotency() == Idempotency.BY_KEY ? requestClass : other;
+        KeyScope scope = bothKeyed && requestClass.keyScope() != other.keyScope() ? KeyScope.CELL : keyed.keyScope();
+        long dedupWindowMicros = bothKeyed ? Math.min(requestClass.dedupWindowMicros(), other.dedupWindowMicros())
                 : keyed.dedupWindowMicros();
-        return new RequestClass(type.name(), repeat, scope, window, type.goalMicros(), type.timeLimitMicros(),
-                type.value(), type.lateValueShare(), type.orderedByKey() || other.orderedByKey());
+        return new RequestClass(requestClass.name(), idempotency, scope, dedupWindowMicros, requestClass.goalMicros(),
+                requestClass.timeLimitMicros(), requestClass.value(), requestClass.lateValueShare(),
+                requestClass.orderedByKey() || other.orderedByKey());
     }
 }
