--- a/src/main/java/drumdeal/relay/Engine.java
+++ b/src/main/java/drumdeal/relay/Engine.java
@@ -183,7 +183,7 @@
                 .forEach(message -> resumeMessage(renumberAndJournal(message)));
         Journal.deleteSegments(lockedFolder.folder());
         if (!unfinished.isEmpty()) {
-            Log.write("adopted " + unfinished.size() + " messages that another process left");
+            Log.write("adopted " + unfinished.size() + " unfinished messages of a process that has ended");
         }
         addEvent(new Policy.PredecessorEnded());
     }
@@ -192,7 +192,8 @@
     private Message renumberAndJournal(Message message) {
         Message renumbered = message.withNumber(nextNumber++);
         if (!journal.recordAdopted(renumbered)) {
-            Log.write("no room to record message " + message.content.callId() + " of another process");
+            Log.write("can't record message " + message.content.callId()
+                    + " of another process in the journal, so it will not be attempted");
         }
         return renumbered;
     }
@@ -423,7 +424,8 @@
             // message may be submitted again, a failed one may not, so the round runs first.
             runRound();
             if (message.nonDelivery == null && !message.finished) {
-                Log.write("message " + message.content.callId() + " is overdue");
+                Log.write("message " + message.content.callId()
+                        + " is still open after its deadline; it ends as failed");
                 endUndelivered(message.number, new Message.NonDelivery(false, 0));
             }
         }, Math.max(OVERDUE_GRACE_MICROS, delay), TimeUnit.MICROSECONDS);
@@ -452,7 +454,8 @@
             }
         } catch (RuntimeException e) {
             // One bad event must not end the relay and with it the delivery of all its messages.
-            Log.write("a round failed: " + e + " at " + List.of(e.getStackTrace()).stream().findFirst().orElse(null));
+            Log.write("a decision round failed, the relay goes on: " + e + " at "
+                    + List.of(e.getStackTrace()).stream().findFirst().orElse(null));
         }
         for (Message message : accepted) {
             if (message.pendingReply != null) {
--- a/src/main/java/drumdeal/relay/EventLoopMonitor.java
+++ b/src/main/java/drumdeal/relay/EventLoopMonitor.java
@@ -41,7 +41,7 @@
         previousCheckAt = lastCheckAt;
         lastCheckAt = clock.micros();
         if (lastCheckAt - previousCheckAt > MIN_LOGGED_STALL_MICROS) {
-            Log.write("the loop stood still for " + (lastCheckAt - previousCheckAt) / 1000 + " ms");
+            Log.write("the event loop stalled for " + (lastCheckAt - previousCheckAt) / 1000 + " ms");
             onStall.accept(lastCheckAt - previousCheckAt);
         }
         loop.schedule(this::checkPeriodically, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/main/java/drumdeal/relay/Log.java
+++ b/src/main/java/drumdeal/relay/Log.java
@@ -25,7 +25,8 @@
     private static synchronized boolean countAndCheckLimit(long second) {
         if (second != currentSecond) {
             if (linesThisSecond > MAX_LINES_PER_SECOND) {
-                System.err.println("drumdeal: " + (linesThisSecond - MAX_LINES_PER_SECOND) + " lines left out");
+                System.err.println("drumdeal: " + (linesThisSecond - MAX_LINES_PER_SECOND)
+                        + " log lines dropped, over the limit per second");
             }
             currentSecond = second;
             linesThisSecond = 0;
--- a/src/main/java/drumdeal/relay/NoticeSender.java
+++ b/src/main/java/drumdeal/relay/NoticeSender.java
@@ -100,8 +100,8 @@
         }
         // Single losses are usual on the network and made good by the next request, so they are not logged.
         if (++consecutiveFailures % FAILURES_PER_LOG_LINE == 0) {
-            Log.write(unacknowledged.size() + " notices are unheard after " + consecutiveFailures
-                    + " requests in vain, status " + status);
+            Log.write(unacknowledged.size() + " notices are not acknowledged after " + consecutiveFailures
+                    + " failed requests and are sent again, status " + status);
         }
         // A time-out has been pause enough.
         loop.schedule(this::sendNextBatch, status == AgentClient.TIMED_OUT ? 0 : RETRY_PAUSE_MILLIS,
--- a/src/main/java/drumdeal/relay/Relay.java
+++ b/src/main/java/drumdeal/relay/Relay.java
@@ -103,7 +103,8 @@
                             this::onPredecessorGone));
                 }
             } catch (IOException e) {
-                Log.write("what is left in " + folder.getFileName() + " can't be adopted: " + e.getMessage());
+                Log.write("state folder " + folder.getFileName() + " can't be adopted, its messages stay there: "
+                        + e.getMessage());
             }
         }
         pendingPredecessors = predecessors.size();
@@ -158,7 +159,7 @@
 
     @Override
     public void resumeDecisions() {
-        Log.write("the other process is gone, this one serves on");
+        Log.write("the successor is gone before it served, this process takes decisions again");
         engine.resumeDecisions();
     }
 
@@ -237,7 +238,7 @@
             drainTimer.cancel(false);
             drainTimer = null;
             clientServer.markReady();
-            Log.write("clients are taken again");
+            Log.write("draining is cancelled, clients are accepted again");
         }
     }
 
