--- a/src/main/java/drumdeal/relay/ClientConnection.java
+++ b/src/main/java/drumdeal/relay/ClientConnection.java
@@ -43,6 +43,7 @@
     private static final long IDLE_TIMEOUT_MILLIS = 10_000;
     /** How long the connection is still read after output was shut down. */
     private static final long LINGER_TIMEOUT_MILLIS = 2000;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private final ClientServer server;
     private final Engine engine;
@@ -422,7 +423,7 @@
         }
         if (retryAfterMicros > 0) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER,
-                    String.format(Locale.ROOT, "%.3f", retryAfterMicros / 1e6));
+                    String.format(Locale.ROOT, "%.3f", retryAfterMicros / MICROS_PER_SECOND));
         }
         Message answeredMessage = pendingMessage;
         pendingMessage = null;
--- a/src/main/java/drumdeal/relay/ClientServer.java
+++ b/src/main/java/drumdeal/relay/ClientServer.java
@@ -37,6 +37,8 @@
     /** Limit for the request bodies of all connections together; small requests may exceed it. */
     private static final int MAX_BUFFERED_BYTES = 4 << 20;
     private static final int MAX_SMALL_REQUEST_BYTES = 4 << 10;
+    /** While another process uses descriptors, at least a quarter of the configured connections stay allowed. */
+    private static final int MIN_CONNECTIONS_DIVISOR = 4;
 
     private final Engine engine;
     private final Clock clock;
@@ -219,7 +221,8 @@
 
     /** Lowers the limit of connections by descriptors that another process uses for now; 0 where none are. */
     void reserveDescriptors(int descriptors) {
-        maxConnections = Math.max(1, Math.max(configuredMaxConnections / 4, configuredMaxConnections - descriptors));
+        maxConnections = Math.max(1, Math.max(configuredMaxConnections / MIN_CONNECTIONS_DIVISOR,
+                configuredMaxConnections - descriptors));
     }
 
     int connectionCount() {
--- a/src/main/java/drumdeal/relay/Engine.java
+++ b/src/main/java/drumdeal/relay/Engine.java
@@ -37,6 +37,8 @@
     private static final long MAX_READ_DELAY_MICROS = 400_000;
     private static final long COUNTERS_LOG_INTERVAL_MILLIS = 2000;
     private static final long ROUTE_STATE_WRITE_INTERVAL_MILLIS = 1000;
+    /** A timer that the module does not use; its event has no effect but starts a round. */
+    private static final long UNUSED_TIMER = 0;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -248,7 +250,7 @@
     /** Takes decisions again, starting with a round for the events that were kept. */
     void resumeDecisions() {
         decisionsSuspended = false;
-        addEvent(new Policy.TimerFired(0));
+        addEvent(new Policy.TimerFired(UNUSED_TIMER));
     }
 
     /**
--- a/src/main/java/drumdeal/relay/Main.java
+++ b/src/main/java/drumdeal/relay/Main.java
@@ -11,6 +11,7 @@
 public final class Main {
     /** Exit code for wrong arguments and for an invalid configuration. */
     private static final int EXIT_USAGE = 2;
+    private static final int EXIT_FAILURE = 1;
 
     private Main() { }
 
@@ -37,7 +38,7 @@
         } catch (Config.BadConfigException e) {
             exit(e.getMessage(), EXIT_USAGE);
         } catch (IOException e) {
-            exit(e.getMessage(), 1);
+            exit(e.getMessage(), EXIT_FAILURE);
         }
     }
 
@@ -45,7 +46,7 @@
         try {
             SimulatorAdapter.runOnStandardStreams();
         } catch (JsonDataException e) {
-            exit(e.getMessage(), 1);
+            exit(e.getMessage(), EXIT_FAILURE);
         }
     }
 
--- a/src/main/java/drumdeal/relay/NoticeSender.java
+++ b/src/main/java/drumdeal/relay/NoticeSender.java
@@ -27,12 +27,15 @@
      */
     private static final long INITIAL_TIMEOUT_MILLIS = 80;
     private static final long MAX_TIMEOUT_MILLIS = 640;
+    /** Bounds the shift that doubles the time-out. */
+    private static final int MAX_TIMEOUT_DOUBLINGS = 8;
     /** Before a request is repeated that failed otherwise than by a time-out. */
     private static final long RETRY_PAUSE_MILLIS = 50;
     /** Keeps a request body, with ids of up to 200 characters, within the limit of 64 KiB. */
     private static final int MAX_NOTICES_PER_REQUEST = 200;
     /** One log line for so many failures in succession. */
     private static final int FAILURES_PER_LOG_LINE = 4;
+    private static final long MICROS_PER_MILLI = 1000;
     private static final int STATUS_NO_CONTENT = 204;
     private static final int STATUS_BAD_REQUEST = 400;
 
@@ -78,7 +81,7 @@
     }
 
     private long timeoutMillis() {
-        return Math.min(MAX_TIMEOUT_MILLIS, INITIAL_TIMEOUT_MILLIS << Math.min(consecutiveFailures, Byte.SIZE));
+        return Math.min(MAX_TIMEOUT_MILLIS, INITIAL_TIMEOUT_MILLIS << Math.min(consecutiveFailures, MAX_TIMEOUT_DOUBLINGS));
     }
 
     private void onResponse(List<Message> batch, int status) {
@@ -117,7 +120,8 @@
                 line.writeStringField("ref", message.content.callId());
                 line.writeStringField("result", message.nonDelivery.rejected() ? "bounced" : "dead");
                 if (message.nonDelivery.rejected() && message.nonDelivery.retryAfter() > 0) {
-                    line.writeNumberField("wait_ms", (message.nonDelivery.retryAfter() + 999) / 1000);
+                    line.writeNumberField("wait_ms",
+                            (message.nonDelivery.retryAfter() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI);
                 }
                 line.writeEndObject();
             } catch (IOException e) {
