--- a/src/main/java/drumdeal/relay/ClientConnection.java
+++ b/src/main/java/drumdeal/relay/ClientConnection.java
@@ -36,7 +36,7 @@
  * complete its request in time. Runs on the event loop.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements Message.ClientReply {
-    /** Requests that are decoded and not handled yet. */
+    /** The most complete requests that wait to be handled. */
     private static final int MAX_PIPELINED_REQUESTS = 8;
     /** How long a client may take to send a request: the first from connecting, later ones from their first byte. */
     private static final long REQUEST_TIMEOUT_MILLIS = 2500;
@@ -48,7 +48,7 @@
     private final ClientServer server;
     private final Engine engine;
     private final Clock clock;
-    /** Requests that are received whole and not handled yet. */
+    /** Complete requests that are not handled yet. */
     private final ArrayDeque<ClientRequest> pipelined = new ArrayDeque<>();
     private final BoundedRequestDecoder decoder = new BoundedRequestDecoder();
     /** True while the decoder holds bytes back because too many requests are pipelined. */
@@ -176,7 +176,7 @@
         return earliest <= openedAt ? Math.min(earliest, earliestConnectionArrival) : earliest;
     }
 
-    /** Decodes no further than up to the limit of pipelined requests; the bytes after that stay in its buffer. */
+    /** Stops decoding at the limit of pipelined requests; further bytes stay in the decoder's buffer. */
     private final class BoundedRequestDecoder extends HttpRequestDecoder {
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf bytes, List<Object> out) throws Exception {
@@ -195,6 +195,7 @@
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage request) { }
     }
 
+    /** Starts the connection's only timer; a running one is cancelled. */
     private void startTimer(long millis, Runnable task) {
         stopTimer();
         timer = context.executor().schedule(task, millis, TimeUnit.MILLISECONDS);
@@ -242,7 +243,10 @@
         withdraw();
     }
 
-    /** Withdraws the message of a client that left before its response and may submit it again under another id. */
+    /**
+     * Withdraws the message of a client that left before its response. It must not be delivered: the client has given
+     * it up and may submit it again under another id.
+     */
     private void withdraw() {
         if (pendingMessage != null) {
             engine.withdraw(pendingMessage);
@@ -332,7 +336,7 @@
         return hasUndecodedBytes || !pipelined.isEmpty();
     }
 
-    /** Rejects a request that can't be read on, after the responses to those before it, and ignores all after it. */
+    /** Rejects a request without reading the rest of it, after those before it; ignores all that follows it. */
     private void rejectAndClose(HttpResponseStatus status) {
         partialRequest = null;
         rejectionStatus = status;
@@ -463,7 +467,7 @@
 
     /**
      * Shuts down output and goes on reading for a while. Closing the socket with unread bytes would send a reset, and
-     * the client could lose its response to that.
+     * the client could then lose the response.
      */
     private void startLingeringClose() {
         if (!context.channel().isActive()) {
--- a/src/main/java/drumdeal/relay/ClientServer.java
+++ b/src/main/java/drumdeal/relay/ClientServer.java
@@ -25,7 +25,7 @@
 final class ClientServer {
     /** The id of a message, set by its client; the same id means the same message. */
     static final String CALL_ID_HEADER = "X-Call-Id";
-    /** The key by which hosts recognise repeated executions; optional. */
+    /** The key by which hosts recognise a repeated message; optional. */
     static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
     /** The time left for a message, in milliseconds. */
     static final String BUDGET_HEADER = "X-Budget-Ms";
@@ -171,7 +171,7 @@
         return connections.stream().allMatch(ClientConnection::isClosing);
     }
 
-    /** As above, and no client has connected, disconnected or been sent the end of its connection for a time. */
+    /** As above, and for {@code millis} no client has connected, disconnected or been sent its connection's end. */
     boolean hasNoActiveClients(long millis) {
         return hasNoActiveClients()
                 && System.nanoTime() - lastConnectionChangeNanos >= TimeUnit.MILLISECONDS.toNanos(millis);
@@ -219,7 +219,7 @@
         List.copyOf(connections).forEach(ClientConnection::rejectIncompleteRequest);
     }
 
-    /** Lowers the limit of connections by descriptors that another process uses for now; 0 where none are. */
+    /** Lowers the limit of connections by the number of descriptors that another process uses; 0 restores it. */
     void reserveDescriptors(int descriptors) {
         maxConnections = Math.max(1, Math.max(configuredMaxConnections / MIN_CONNECTIONS_DIVISOR,
                 configuredMaxConnections - descriptors));
@@ -236,8 +236,8 @@
     void onConnectionOpened(ClientConnection connection) {
         if (connections.size() >= maxConnections) {
             ClientConnection leastActive = findLeastActive(connection);
-            // Removed now: its end is reported later, and more connections may be accepted in the same pass, so that
-            // the limit would be exceeded.
+            // Removed at once: its close is reported later, and more connections that are accepted in the same pass
+            // would exceed the limit.
             onConnectionClosed(leastActive);
             leastActive.close();
             if (leastActive == connection) {
--- a/src/main/java/drumdeal/relay/Engine.java
+++ b/src/main/java/drumdeal/relay/Engine.java
@@ -29,11 +29,9 @@
      * reaches the platform in time.
      */
     private static final long OVERDUE_GRACE_MICROS = 200_000;
-    /** When a client whose message was not accepted may submit it again. */
+    /** How long a client whose message was not accepted is to wait before it submits the message again. */
     private static final long RETRY_AFTER_MICROS = 1_000_000;
-    /**
-     * How long a request may have lain unread and still be accepted. Clients wait 400 ms for their response.
-     */
+    /** How long a request may have lain unread and still be accepted. Clients wait 400 ms for their response. */
     private static final long MAX_READ_DELAY_MICROS = 400_000;
     private static final long COUNTERS_LOG_INTERVAL_MILLIS = 2000;
     private static final long ROUTE_STATE_WRITE_INTERVAL_MILLIS = 1000;
@@ -66,7 +64,7 @@
     /** Messages accepted since the last round; their clients are answered at the end of the next one. */
     private List<Message> acceptedThisRound = new ArrayList<>();
     private long nextNumber;
-    /** Messages whose end is not decided yet. */
+    /** Messages that are neither delivered nor ended undelivered. */
     private int openMessageCount;
     private int attemptsInFlight;
     private boolean roundScheduled;
@@ -423,7 +421,7 @@
         long delay = message.content.deadline() + OVERDUE_GRACE_MICROS - clock.micros();
         message.overdueTimer = loop.schedule(() -> {
             // Lack of CPU may have delayed the round in which the module would have rejected the message. A rejected
-            // message may be submitted again, a failed one may not, so the round runs first.
+            // message can safely be submitted again, a failed one can't, so the round runs first.
             runRound();
             if (message.nonDelivery == null && !message.finished) {
                 Log.write("message " + message.content.callId()
@@ -443,6 +441,7 @@
         }
     }
 
+    /** Passes the pending events to the module, then answers the clients of new messages and sends the attempts. */
     private void runRound() {
         roundScheduled = false;
         long now = clock.micros();
--- a/src/main/java/drumdeal/relay/EventLoopMonitor.java
+++ b/src/main/java/drumdeal/relay/EventLoopMonitor.java
@@ -15,8 +15,8 @@
     /** A request is taken to be older than it is by up to two intervals. */
     private static final long CHECK_INTERVAL_MILLIS = 10;
     /**
-     * A stall of this length takes most of the time in which a notice or a client's response is due. It is logged, as a
-     * relay that is short of CPU otherwise looks faulty.
+     * Longer stalls are logged and reported: they take most of the time in which a notice or a client's response is
+     * due. Without the log line a relay that is short of CPU looks faulty.
      */
     private static final long MIN_LOGGED_STALL_MICROS = 250_000;
 
--- a/src/main/java/drumdeal/relay/Log.java
+++ b/src/main/java/drumdeal/relay/Log.java
@@ -21,7 +21,7 @@
         }
     }
 
-    /** Counts a line in the second {@code now}; false where that second has had its lines. */
+    /** Counts a line; false where the limit of the current second is exceeded. */
     private static synchronized boolean countAndCheckLimit(long second) {
         if (second != currentSecond) {
             if (linesThisSecond > MAX_LINES_PER_SECOND) {
--- a/src/main/java/drumdeal/relay/Message.java
+++ b/src/main/java/drumdeal/relay/Message.java
@@ -56,7 +56,7 @@
     ClientReply pendingReply;
     /** Null until the message has ended undelivered. */
     NonDelivery nonDelivery;
-    /** Ends the message if the module leaves it open past its deadline; null where its end was decided before. */
+    /** Ends the message if the module leaves it open past its deadline; null where an earlier process has ended it. */
     Future<?> overdueTimer;
     /** True once neither a delivery nor a notice is outstanding. */
     boolean finished;
--- a/src/main/java/drumdeal/relay/NoticeSender.java
+++ b/src/main/java/drumdeal/relay/NoticeSender.java
@@ -15,8 +15,8 @@
 import java.util.function.Consumer;
 
 /**
- * Sends the platform notices of messages that ended undelivered, and repeats each until it is acknowledged. One request
- * is in flight at a time and carries many notices.
+ * Sends a notice of each message that ended undelivered to the platform and repeats it until it is acknowledged. One
+ * request is in flight at a time and carries many notices.
  */
 final class NoticeSender {
     /**
@@ -33,7 +33,7 @@
     private static final long RETRY_PAUSE_MILLIS = 50;
     /** Keeps a request body, with ids of up to 200 characters, within the limit of 64 KiB. */
     private static final int MAX_NOTICES_PER_REQUEST = 200;
-    /** One log line for so many failures in succession. */
+    /** One line is logged per this many failures in succession. */
     private static final int FAILURES_PER_LOG_LINE = 4;
     private static final long MICROS_PER_MILLI = 1000;
     private static final int STATUS_NO_CONTENT = 204;
@@ -81,11 +81,12 @@
     }
 
     private long timeoutMillis() {
-        return Math.min(MAX_TIMEOUT_MILLIS, INITIAL_TIMEOUT_MILLIS << Math.min(consecutiveFailures, MAX_TIMEOUT_DOUBLINGS));
+        return Math.min(MAX_TIMEOUT_MILLIS,
+                INITIAL_TIMEOUT_MILLIS << Math.min(consecutiveFailures, MAX_TIMEOUT_DOUBLINGS));
     }
 
     private void onResponse(List<Message> batch, int status) {
-        // A notice that the platform can't read would hold up all others, so it is given up once it was sent alone.
+        // A notice that the platform can't read would hold up all others, so it is dropped where it is refused alone.
         boolean givenUp = status == STATUS_BAD_REQUEST && batch.size() == 1;
         if (status == STATUS_NO_CONTENT || givenUp) {
             if (givenUp) {
@@ -106,7 +107,7 @@
             Log.write(unacknowledged.size() + " notices are not acknowledged after " + consecutiveFailures
                     + " failed requests and are sent again, status " + status);
         }
-        // A time-out has been pause enough.
+        // After a time-out the request is repeated without a further pause.
         loop.schedule(this::sendNextBatch, status == AgentClient.TIMED_OUT ? 0 : RETRY_PAUSE_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/drumdeal/relay/Relay.java
+++ b/src/main/java/drumdeal/relay/Relay.java
@@ -14,7 +14,7 @@
 
 /** The relay: creates its components, starts them, hands over to a newer process and stops. */
 final class Relay implements AdminServer.Controls, SuccessorLink.HandoverHandler, ConfigReloader.Listener {
-    // Delays from the end signal. The process is killed 3.7 s after that signal at the earliest.
+    // The first three delays count from the end signal; the process is killed 3.7 s after it at the earliest.
     /** Until idle connections are closed, as clients still connect. Also used when operators drain the relay. */
     private static final long DRAIN_DELAY_MILLIS = 500;
     /** Until no more attempts are started, so that those in flight can end: a call takes about a second. */
@@ -159,7 +159,7 @@
 
     @Override
     public void resumeDecisions() {
-        Log.write("the successor is gone before it served, this process takes decisions again");
+        Log.write("the successor is gone before it served clients, this process takes the decisions again");
         engine.resumeDecisions();
     }
 
@@ -238,7 +238,7 @@
             drainTimer.cancel(false);
             drainTimer = null;
             clientServer.markReady();
-            Log.write("draining is cancelled, clients are accepted again");
+            Log.write("draining is cancelled, the relay is ready for clients again");
         }
     }
 
