--- a/src/main/java/drumdeal/relay/Engine.java
+++ b/src/main/java/drumdeal/relay/Engine.java
@@ -18,17 +18,25 @@
 import java.util.function.Function;
 
 /**
- * Drives the decision module: gathers what has come in into rounds and carries out what the module answers.
- * It owns the table of messages and takes no decision of its own. Everything runs on one event loop.
+ * Drives the decision module: collects events into rounds, passes each round to the module and carries out the
+ * actions that the module chooses. The engine owns the table of messages and takes no decision of its own.
+ * All its methods run on one event loop.
  */
-final class Engine implements Policy.Actions, HostClient.ResultListener, Discovery.Listener, PredecessorLink.TakeoverHandler {
-    /** When a message that the module has left open past its deadline is ended: in time for its notice. */
+final class Engine
+        implements Policy.Actions, HostClient.ResultListener, Discovery.Listener, PredecessorLink.TakeoverHandler {
+    /**
+     * How long after its deadline a message that the module has left open is ended. The notice of its end then still
+     * reaches the platform in time.
+     */
     private static final long OVERDUE_GRACE_MICROS = 200_000;
+    /** How long a client whose message was not accepted is to wait before it submits the message again. */
     private static final long RETRY_AFTER_MICROS = 1_000_000;
-    /** How long passes may take while messages are still taken on; clients wait 400 ms for their answer. */
+    /** How long a request may have lain unread and still be accepted. Clients wait 400 ms for their response. */
     private static final long MAX_READ_DELAY_MICROS = 400_000;
     private static final long COUNTERS_LOG_INTERVAL_MILLIS = 2000;
     private static final long ROUTE_STATE_WRITE_INTERVAL_MILLIS = 1000;
+    /** A timer that the module does not use; its event has no effect but starts a round. */
+    private static final long UNUSED_TIMER = 0;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -39,94 +47,116 @@
     private final NoticeSender noticeSender;
     private final RequestClassRegistry requestClasses;
     private final DeadlineMargin deadlineMargin = new DeadlineMargin();
+    /** Every destination that a route list has named since the start of the process. */
     private final Set<Integer> knownDestinations = new HashSet<>();
+    /** Messages that are not settled, by their number in this process's journal, oldest first. */
     private final Map<Long, Message> messagesByNumber = new LinkedHashMap<>();
     private final Map<String, Message> messagesByCallId = new HashMap<>();
+    /** Attempts that the current round starts; they are sent at its end, those of one route together. */
     private final Map<String, List<HostClient.OutgoingAttempt>> outgoingByRoute = new LinkedHashMap<>();
     private final IntervalCounters counters = new IntervalCounters();
     private final Stats stats = new Stats();
     private Policy.Settings settings;
+    /** From the first event of a round until the round runs. */
     private long roundDelayMicros;
+    /** Events for the next round, in order of arrival. */
     private List<Event> pendingEvents = new ArrayList<>();
+    /** Messages accepted since the last round; their clients are answered at the end of the next one. */
     private List<Message> acceptedThisRound = new ArrayList<>();
     private long nextNumber;
+    /** Messages that are neither delivered nor ended undelivered. */
     private int openMessageCount;
     private int attemptsInFlight;
     private boolean roundScheduled;
-    /** Another process takes the decisions. */
+    /** True while another process takes the decisions; events are then kept for a later round. */
     private boolean decisionsSuspended;
+    /** True once this process is about to end and starts no more attempts. */
     private boolean newAttemptsStopped;
+    /** The process that takes over from this one; null until it listens for clients. */
     private SuccessorLink successor;
+    /** Version of the last route list; -1 where there is none. */
     private long listVersion = -1;
+    /** True once there is a route list, from discovery or from before the start. */
     private boolean ready;
+    /** True once discovery itself has sent a list, so that destinations not in it are unknown. */
     private boolean listReceived;
+    /** Makes discovery fetch the list sooner than scheduled. */
     private Runnable listRequester = () -> { };
 
-    Engine(EventLoop loop, Clock clock, Config config, Journal journal, Function<Policy.Settings, Policy> module) {
+    Engine(EventLoop loop, Clock clock, Config config, Journal journal,
+            Function<Policy.Settings, Policy> policyFactory) {
         this.loop = loop;
         this.clock = clock;
         diskBytes = config.diskBytes();
         settings = config.settings();
         roundDelayMicros = config.roundDelayMicros();
         this.journal = journal;
-        policy = module.apply(config.settings());
+        policy = policyFactory.apply(config.settings());
         hostClient = new HostClient(loop, clock, config, this);
-        noticeSender = new NoticeSender(loop, new AgentClient(loop, config.discoveryAddress()), this::onNoticeAcknowledged);
+        noticeSender = new NoticeSender(loop, new AgentClient(loop, config.discoveryAddress()),
+                this::onNoticeAcknowledged);
         requestClasses = new RequestClassRegistry(settings);
         stats.registerClasses(requestClasses.classNames());
         nextNumber = journal.nextMessageNumber();
     }
 
-    /** Whom to ask for the list sooner than it would come by itself. */
-    void setListRequester(Runnable ask) {
-        listRequester = ask;
+    /** Sets what is run to make discovery fetch the route list sooner than scheduled. */
+    void setListRequester(Runnable requester) {
+        listRequester = requester;
     }
 
-    /** Takes other settings whole: what is taken on from now on goes by them. */
-    void reconfigure(Config next) {
-        settings = next.settings();
-        roundDelayMicros = next.roundDelayMicros();
+    /** Replaces all settings. Messages accepted from now on are handled by the new ones. */
+    void reconfigure(Config newConfig) {
+        settings = newConfig.settings();
+        roundDelayMicros = newConfig.roundDelayMicros();
         requestClasses.update(settings, clock.micros());
         stats.registerClasses(requestClasses.classNames());
         stats.countReload();
-        hostClient.applySettings(next);
-        noticeSender.moveTo(next.discoveryAddress());
+        hostClient.applySettings(newConfig);
+        noticeSender.moveTo(newConfig.discoveryAddress());
         addEvent(new Policy.SettingsChanged(settings));
     }
 
-    /** The event loop has stood still for a span up to now. */
-    void onLoopStall(long span) {
-        deadlineMargin.recordStall(clock.micros(), span);
+    /** The event loop has just stalled, for a time in microseconds. */
+    void onLoopStall(long stallMicros) {
+        deadlineMargin.recordStall(clock.micros(), stallMicros);
     }
 
-    /** A configuration was turned down. */
+    /** A new configuration was invalid and is not used. */
     void onReloadFailed() {
         stats.countReloadError();
     }
 
-    /** Takes in the list known from before, what was learned of its routes, and what the journal holds. */
-    void start(long knownVersion, List<Target> known, Path health) {
-        loop.scheduleAtFixedRate(this::logCounters, COUNTERS_LOG_INTERVAL_MILLIS, COUNTERS_LOG_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
-        if (!known.isEmpty()) {
-            updateTargets(Policy.RouteListUpdateType.CACHED, knownVersion, known);
+    /**
+     * Restores the route list known from before ({@code knownTargets} may be empty), what an earlier process learned of
+     * its routes, and the unfinished messages of the journal.
+     */
+    void start(long knownVersion, List<Target> knownTargets, Path stateFolder) {
+        loop.scheduleAtFixedRate(this::logCounters, COUNTERS_LOG_INTERVAL_MILLIS, COUNTERS_LOG_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
+        if (!knownTargets.isEmpty()) {
+            updateTargets(Policy.RouteListUpdateType.CACHED, knownVersion, knownTargets);
         }
-        byte[] learned = RouteStateFile.read(health, clock.micros(), diskBytes);
-        if (learned != null) {
-            addEvent(new Policy.LearnedStateRestored(learned, 0));
+        byte[] learnedState = RouteStateFile.read(stateFolder, clock.micros(), diskBytes);
+        if (learnedState != null) {
+            addEvent(new Policy.LearnedStateRestored(learnedState, 0));
             addEvent(new Policy.PredecessorEnded());
         }
-        loop.scheduleAtFixedRate(() -> writeRouteState(health), ROUTE_STATE_WRITE_INTERVAL_MILLIS, ROUTE_STATE_WRITE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(() -> writeRouteState(stateFolder), ROUTE_STATE_WRITE_INTERVAL_MILLIS,
+                ROUTE_STATE_WRITE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         journal.unfinishedMessages().forEach(this::resumeMessage);
     }
 
-    private void writeRouteState(Path health) {
-        // Guards against what this process no longer learns: another one decides for it.
+    private void writeRouteState(Path stateFolder) {
+        // While another process takes the decisions, this one learns nothing more: its state would be written with the
+        // current time although it is out of date.
         if (!decisionsSuspended) {
-            journal.reserveForOtherFiles(RouteStateFile.write(health, policy.encodeLearnedState(), clock.micros(), diskBytes));
+            journal.reserveForOtherFiles(
+                    RouteStateFile.write(stateFolder, policy.encodeLearnedState(), clock.micros(), diskBytes));
         }
     }
 
-    /** Goes on with a message that another process took on. */
+    /** Continues a message that another process accepted: its notice where its end is decided, else its delivery. */
     private void resumeMessage(Message message) {
         indexMessage(message);
         if (message.nonDelivery != null) {
@@ -140,36 +170,38 @@
 
     private void addResumedEvent(Message message) {
         addEvent(new Policy.RequestResumed(acceptedEvent(message), message.attempts.stream()
-                .map(a -> new Policy.PastAttempt(a.route, a.sentAt, a.result)).toList()));
+                .map(attempt -> new Policy.PastAttempt(attempt.route, attempt.sentAt, attempt.result)).toList()));
     }
 
-    /** Takes up what a process that has ended left open, in a part that this one owns now. */
+    /** Resumes the unfinished messages of a process that has ended. This process holds the lock of the folder now. */
     @Override
-    public void adoptFolder(StateFolder.LockedFolder part) throws IOException {
-        List<Message> left = Journal.readUnfinishedMessages(part.folder(), diskBytes);
+    public void adoptFolder(StateFolder.LockedFolder lockedFolder) throws IOException {
+        List<Message> unfinished = Journal.readUnfinishedMessages(lockedFolder.folder(), diskBytes);
         journal.useWholeDisk();
-        // Guards against what was passed on already when the process ended, before it could note that.
-        left.stream().filter(message -> !messagesByCallId.containsKey(message.content.callId()))
+        // The other process may have handed a message over and ended before it could record that in its journal.
+        unfinished.stream().filter(message -> !messagesByCallId.containsKey(message.content.callId()))
                 .forEach(message -> resumeMessage(renumberAndJournal(message)));
-        Journal.deleteSegments(part.folder());
-        if (!left.isEmpty()) {
-            Log.write("adopted " + left.size() + " messages that another process left");
+        Journal.deleteSegments(lockedFolder.folder());
+        if (!unfinished.isEmpty()) {
+            Log.write("adopted " + unfinished.size() + " unfinished messages of a process that has ended");
         }
         addEvent(new Policy.PredecessorEnded());
     }
 
+    /** Gives a message of another process a number of this one and records it in this one's journal. */
     private Message renumberAndJournal(Message message) {
-        Message own = message.withNumber(nextNumber++);
-        if (!journal.recordAdopted(own)) {
-            Log.write("no room to record message " + message.content.callId() + " of another process");
+        Message renumbered = message.withNumber(nextNumber++);
+        if (!journal.recordAdopted(renumbered)) {
+            Log.write("can't record message " + message.content.callId()
+                    + " of another process in the journal, so it will not be attempted");
         }
-        return own;
+        return renumbered;
     }
 
     @Override
     public Message storeMessage(byte[] records) throws IOException {
         Message message = renumberAndJournal(Journal.unpack(records));
-        // A client that sends it once more since its connection closed is answered from here.
+        // A client that resends the request because its connection closed is answered by this process from now on.
         indexMessage(message);
         return message;
     }
@@ -180,41 +212,49 @@
     }
 
     @Override
-    public void applySnapshot(HandoverSnapshot standing) {
+    public void applySnapshot(HandoverSnapshot snapshot) {
         journal.shareDisk(false);
-        if (!listReceived && !standing.targets().isEmpty()) {
-            updateTargets(Policy.RouteListUpdateType.CACHED, standing.listVersion(), standing.targets());
+        if (!listReceived && !snapshot.targets().isEmpty()) {
+            updateTargets(Policy.RouteListUpdateType.CACHED, snapshot.listVersion(), snapshot.targets());
         }
-        addEvent(new Policy.LearnedStateRestored(standing.learnedState(), standing.callsInFlight()));
+        addEvent(new Policy.LearnedStateRestored(snapshot.learnedState(), snapshot.callsInFlight()));
     }
 
     @Override
-    public void onPredecessorOutcome(String route, Result result, long wait, long elapsed, int callsOut) {
-        if (wait > 0) {
-            hostClient.applyRetryAfter(route, wait);
+    public void onPredecessorOutcome(String route, Result result, long retryAfterMicros, long elapsedMicros,
+            int predecessorCallsInFlight) {
+        if (retryAfterMicros > 0) {
+            hostClient.applyRetryAfter(route, retryAfterMicros);
         }
-        addEvent(new Policy.PredecessorCallEnded(route, result, wait, elapsed, callsOut));
+        addEvent(new Policy.PredecessorCallEnded(route, result, retryAfterMicros, elapsedMicros,
+                predecessorCallsInFlight));
     }
 
     void reserveDescriptors(int descriptors) {
         hostClient.reserveDescriptors(descriptors);
     }
 
-    /** Takes the last decisions and tells where all stands; what happens from now on waits for the next ones. */
-    HandoverSnapshot suspendDecisions(int clients) {
+    /**
+     * Runs a last round and returns the state that another process needs to take the decisions. Later events are kept
+     * for the round after {@link #resumeDecisions}.
+     */
+    HandoverSnapshot suspendDecisions(int clientConnections) {
         runRound();
         decisionsSuspended = true;
-        return new HandoverSnapshot(listVersion, hostClient.targets(), policy.encodeLearnedState(), hostClient.callsInFlight(),
-                clients + hostClient.connections());
+        return new HandoverSnapshot(listVersion, hostClient.targets(), policy.encodeLearnedState(),
+                hostClient.callsInFlight(), clientConnections + hostClient.connections());
     }
 
-    /** Takes decisions again, on what has happened meanwhile first. */
+    /** Takes decisions again, starting with a round for the events that were kept. */
     void resumeDecisions() {
         decisionsSuspended = false;
-        addEvent(new Policy.TimerFired(0));
+        addEvent(new Policy.TimerFired(UNUSED_TIMER));
     }
 
-    /** Leaves every further decision to another process, which gets each message as soon as it is at rest. */
+    /**
+     * Leaves all further decisions to another process. It gets each message as soon as nothing in this process still
+     * depends on it: see {@link #offerToSuccessor}.
+     */
     void handOver(SuccessorLink link) {
         successor = link;
         journal.shareDisk(true);
@@ -222,9 +262,11 @@
         List.copyOf(messagesByNumber.values()).forEach(this::offerToSuccessor);
     }
 
+    /** Offers a message whose end is open, whose client has its response, and that has no attempt in flight. */
     private void offerToSuccessor(Message message) {
-        boolean atRest = message.pendingReply == null && message.nonDelivery == null && !message.finished && !message.hasAttemptsInFlight();
-        if (successor != null && atRest) {
+        boolean transferable = message.pendingReply == null && message.nonDelivery == null && !message.finished
+                && !message.hasAttemptsInFlight();
+        if (successor != null && transferable) {
             successor.offer(message);
         }
     }
@@ -236,107 +278,116 @@
         }
     }
 
-    /** Tells staff where messages are and what has become of others; nothing while there is nothing to tell. */
+    /** Logs how many messages are open and what was counted since the last line; no line where both are empty. */
     private void logCounters() {
         String counts = counters.formatAndReset();
         if (openMessageCount > 0 || !counts.isEmpty()) {
-            Log.write("held " + openMessageCount + ", calls " + attemptsInFlight + " of " + settings.limits().callSlots() + ", "
-                    + hostClient.connectionSummary() + mostAwaitedDestination() + (counts.isEmpty() ? "" : "; " + counts));
+            Log.write("held " + openMessageCount + ", calls " + attemptsInFlight + " of "
+                    + settings.limits().callSlots() + ", " + hostClient.connectionSummary() + mostAwaitedDestination()
+                    + (counts.isEmpty() ? "" : "; " + counts));
         }
     }
 
-    /** The figures that operators ask for. */
+    /** The totals since the start of the process and the current figures, for operators. */
     String statsJson() {
         return stats.toJson(openMessageCount, hostClient.hostCount(), policy.countUnavailableRoutes(clock.micros()));
     }
 
-    /** The destination that most messages wait for, where many do. */
+    /** Log text that names the destination that most messages wait for; empty where no two wait for the same one. */
     private String mostAwaitedDestination() {
-        Map<Integer, Integer> waiting = new HashMap<>();
+        Map<Integer, Integer> waitingByDestination = new HashMap<>();
         for (Message message : messagesByNumber.values()) {
             if (!message.hasAttemptsInFlight() && message.nonDelivery == null) {
-                waiting.merge(message.content.destination(), 1, Integer::sum);
+                waitingByDestination.merge(message.content.destination(), 1, Integer::sum);
             }
         }
-        return waiting.entrySet().stream().max(Map.Entry.comparingByValue()).filter(most -> most.getValue() > 1)
-                .map(most -> ", " + most.getValue() + " wait for destination " + most.getKey()).orElse("");
+        return waitingByDestination.entrySet().stream().max(Map.Entry.comparingByValue())
+                .filter(entry -> entry.getValue() > 1)
+                .map(entry -> ", " + entry.getValue() + " wait for destination " + entry.getKey()).orElse("");
     }
 
+    /** True once a route list is known, so that messages can be accepted. */
     boolean isReady() {
         return ready;
     }
 
-    /** True where nothing is owed any more. */
+    /** True where this process holds no message: no delivery, response or notice is outstanding. */
     boolean hasNoMessages() {
         return messagesByNumber.isEmpty();
     }
 
     /**
-     * Begins nothing new from now on: an attempt that the end of the process cuts off may have run, so a
-     * message that may take effect only once would be lost by it. What is held waits in the journal.
+     * Starts no more attempts. An attempt that is cut off by the end of the process may have been executed, so a
+     * message that may take effect only once could not be delivered any more. Open messages wait in the journal.
      */
     void stopNewAttempts() {
         newAttemptsStopped = true;
         addEvent(new Policy.ShutdownStarted());
     }
 
-    /** True where nothing more begins here. */
+    /** True where this process starts no more attempts. */
     boolean hasStoppedNewAttempts() {
         return newAttemptsStopped || decisionsSuspended;
     }
 
-    /** True where no attempt is out and no client waits for an answer. */
+    /** True where no attempt is in flight and no client of an accepted message waits for its response. */
     boolean hasNothingInFlight() {
         return attemptsInFlight == 0 && acceptedThisRound.isEmpty();
     }
 
     /**
-     * The terms for a message: null where its class or its tenant is not known, or it lacks the key it needs, or where
-     * its destination is not known, unless discovery is still to tell its list.
+     * The terms on which a message is accepted. Null where its class or tenant is unknown, where it lacks the
+     * idempotency key that its class needs, and where discovery has sent its list and the destination is unknown.
      */
     Policy.RequestTerms termsFor(Message.Content content) {
-        boolean mayBeReached = knownDestinations.contains(content.destination()) || !listReceived;
-        return mayBeReached ? requestClasses.termsFor(content, clock.micros()) : null;
+        boolean destinationMayExist = knownDestinations.contains(content.destination()) || !listReceived;
+        return destinationMayExist ? requestClasses.termsFor(content, clock.micros()) : null;
     }
 
     /**
-     * Takes a message on, whose bytes may have lain unread since a time, and returns it; its client is answered at
-     * the end of the round, so that one who leaves meanwhile is noticed and one whose message ends at once hears
-     * that instead. Null where the client has its answer already.
+     * Accepts a message and returns it, or answers the client at once and returns null. {@code unreadSince} is the
+     * earliest time at which the bytes that are read now can have arrived. The client of an accepted message is
+     * answered at the end of the round: until then its disconnection is noticed, and where the message ends in that
+     * round the client is told so in the response.
      */
-    Message acceptMessage(Message.Content content, Policy.RequestTerms terms, long unreadSince, Message.ClientReply client) {
-        Message same = messagesByCallId.get(content.callId());
-        if (same != null) {
-            // Guards against a client that sends a request once more since its connection closed on it. One
-            // whose own client may yet withdraw it, or that is over, is not taken on.
-            if (same.pendingReply == null && same.nonDelivery == null && !same.finished) {
-                client.sendAccepted();
+    Message acceptMessage(Message.Content content, Policy.RequestTerms terms, long unreadSince,
+            Message.ClientReply reply) {
+        Message existing = messagesByCallId.get(content.callId());
+        if (existing != null) {
+            // A client resends a request after its connection closed before the response. The message is held
+            // already, so it is confirmed, unless its first client may still withdraw it or its end is decided.
+            if (existing.pendingReply == null && existing.nonDelivery == null && !existing.finished) {
+                reply.sendAccepted();
             } else {
-                client.sendFailed();
+                reply.sendFailed();
             }
             return null;
         }
-        // Guards against a list from before a restart: a destination may be new since, so this is no failure.
-        boolean reachable = knownDestinations.contains(content.destination());
-        // Guards against promises that a relay short of CPU can't keep, and against clients that have left by now:
-        // what may have lain unread so long is refused at once. It harms where the client has come just now.
+        // A list from before a restart may lack a newer destination, so the client is told to retry.
+        boolean destinationKnown = knownDestinations.contains(content.destination());
+        // Rejects a request that may have lain unread too long: a relay so short of CPU can't deliver what it accepts,
+        // and the client may have stopped waiting. A request that has only just arrived can be rejected too, as
+        // nothing but its earliest possible arrival is known.
         long now = clock.micros();
-        boolean behind = now - unreadSince > MAX_READ_DELAY_MICROS;
+        boolean unreadTooLong = now - unreadSince > MAX_READ_DELAY_MICROS;
         long margin = deadlineMargin.marginFor(now, content.deadline() - now);
-        Message message = new Message(nextNumber, content.withEarlierDeadline(margin), DeadlineMargin.shortenDeadline(terms, margin));
+        Message message = new Message(nextNumber, content.withEarlierDeadline(margin),
+                DeadlineMargin.shortenDeadline(terms, margin));
         message.clientDeadline = content.deadline();
-        String obstacle = !ready ? "not ready" : behind ? "behind" : !reachable ? "unknown destination"
-                : openMessageCount >= settings.limits().maxOpenRequests() ? "full" : !journal.recordAccepted(message) ? "no disk" : null;
-        if (obstacle != null) {
-            counters.count("turned away: " + obstacle);
+        String rejectionReason = !ready ? "not ready" : unreadTooLong ? "behind"
+                : !destinationKnown ? "unknown destination"
+                : openMessageCount >= settings.limits().maxOpenRequests() ? "full"
+                : !journal.recordAccepted(message) ? "no disk" : null;
+        if (rejectionReason != null) {
+            counters.count("turned away: " + rejectionReason);
             stats.countRejected(content.requestClass());
-            client.sendRejected(RETRY_AFTER_MICROS);
+            reply.sendRejected(RETRY_AFTER_MICROS);
             return null;
         }
         counters.count("taken");
         nextNumber++;
         openMessageCount++;
-        message.pendingReply = client;
+        message.pendingReply = reply;
         indexMessage(message);
         acceptedThisRound.add(message);
         startOverdueTimer(message);
@@ -351,11 +402,11 @@
 
     private static Policy.RequestAccepted acceptedEvent(Message message) {
         Message.Content content = message.content;
-        return new Policy.RequestAccepted(message.number, content.requestClass(), content.tenant(), content.idempotencyKey(),
-                content.deadline(), content.destination(), message.terms);
+        return new Policy.RequestAccepted(message.number, content.requestClass(), content.tenant(),
+                content.idempotencyKey(), content.deadline(), content.destination(), message.terms);
     }
 
-    /** The client left before its answer: nothing is owed to it. */
+    /** The client disconnected before its response: its message is dropped, unless its end is decided. */
     void withdraw(Message message) {
         message.pendingReply = null;
         if (messagesByNumber.containsKey(message.number) && message.nonDelivery == null && !message.finished) {
@@ -365,14 +416,16 @@
         }
     }
 
-    /** Guards against a message that an error in a round has left behind. */
+    /** Ends a message that the module has left open past its deadline, for example after an error in a round. */
     private void startOverdueTimer(Message message) {
         long delay = message.content.deadline() + OVERDUE_GRACE_MICROS - clock.micros();
         message.overdueTimer = loop.schedule(() -> {
-            // Guards against failing what may be refused, only as no round has come to it for want of CPU.
+            // Lack of CPU may have delayed the round in which the module would have rejected the message. A rejected
+            // message can safely be submitted again, a failed one can't, so the round runs first.
             runRound();
             if (message.nonDelivery == null && !message.finished) {
-                Log.write("message " + message.content.callId() + " is overdue");
+                Log.write("message " + message.content.callId()
+                        + " is still open after its deadline; it ends as failed");
                 endUndelivered(message.number, new Message.NonDelivery(false, 0));
             }
         }, Math.max(OVERDUE_GRACE_MICROS, delay), TimeUnit.MICROSECONDS);
@@ -382,31 +435,34 @@
         pendingEvents.add(event);
         if (!roundScheduled) {
             roundScheduled = true;
-            // Guards, by a whole period, against answering a client whose leaving has come but is not read yet.
+            // A client's disconnection may have arrived and not been read yet. The round waits a whole period, so that
+            // the disconnection is read before the client would be answered.
             loop.schedule(this::runRound, roundDelayMicros, TimeUnit.MICROSECONDS);
         }
     }
 
+    /** Passes the pending events to the module, then answers the clients of new messages and sends the attempts. */
     private void runRound() {
         roundScheduled = false;
         long now = clock.micros();
-        List<Message> arrived = acceptedThisRound;
+        List<Message> accepted = acceptedThisRound;
         acceptedThisRound = new ArrayList<>();
         try {
             if (!decisionsSuspended) {
-                List<Event> came = pendingEvents;
+                List<Event> events = pendingEvents;
                 pendingEvents = new ArrayList<>();
-                policy.onRound(now, came, this);
+                policy.onRound(now, events, this);
             }
         } catch (RuntimeException e) {
-            // Guards against one bad event that would end the relay and all that it holds.
-            Log.write("a round failed: " + e + " at " + List.of(e.getStackTrace()).stream().findFirst().orElse(null));
+            // One bad event must not end the relay and with it the delivery of all its messages.
+            Log.write("a decision round failed, the relay goes on: " + e + " at "
+                    + List.of(e.getStackTrace()).stream().findFirst().orElse(null));
         }
-        for (Message message : arrived) {
+        for (Message message : accepted) {
             if (message.pendingReply != null) {
-                Message.ClientReply client = message.pendingReply;
+                Message.ClientReply reply = message.pendingReply;
                 message.pendingReply = null;
-                client.sendAccepted();
+                reply.sendAccepted();
             }
             offerToSuccessor(message);
         }
@@ -425,7 +481,7 @@
     }
 
     @Override
-    public void startAttempt(long id, String route, long timeout, long until) {
+    public void startAttempt(long id, String route, long timeout, long sendDeadline) {
         Message message = messagesByNumber.get(id);
         if (message == null || message.nonDelivery != null) {
             return;
@@ -434,18 +490,20 @@
         Message.Attempt attempt = message.addAttempt(route, now);
         message.attemptStarted();
         attemptsInFlight++;
-        long left = message.content.deadline() - now;
-        if (left <= 0 || !journal.recordAttempt(attempt)) {
-            // Guards against an attempt that a restart would know nothing of.
+        long remainingMicros = message.content.deadline() - now;
+        if (remainingMicros <= 0 || !journal.recordAttempt(attempt)) {
+            // An attempt that is not in the journal is not sent: after a restart the relay would not know of it.
             attemptEnded(attempt, Result.NOT_SENT, false, 0, LimitReport.NONE);
             return;
         }
         outgoingByRoute.computeIfAbsent(route, r -> new ArrayList<>())
-                .add(new HostClient.OutgoingAttempt(attempt, timeout > 0 ? Math.min(timeout, left) : left, until));
+                .add(new HostClient.OutgoingAttempt(attempt,
+                        timeout > 0 ? Math.min(timeout, remainingMicros) : remainingMicros, sendDeadline));
     }
 
     @Override
-    public void attemptEnded(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report) {
+    public void attemptEnded(Message.Attempt attempt, Result result, boolean endsMessage, long retryAfterMicros,
+            LimitReport report) {
         Message message = attempt.message;
         counters.count(result.name());
         attempt.result = result;
@@ -453,10 +511,10 @@
         attemptsInFlight--;
         boolean late = result == Result.OK && clock.micros() > message.clientDeadline;
         if (late) {
-            // Guards against a delivery that comes after the time that its client counts: that is none.
+            // A delivery after the client's deadline does not count as one: the message has failed.
             journal.recordResult(attempt);
             endUndelivered(message.number, new Message.NonDelivery(false, 0));
-        } else if (over && message.nonDelivery == null && !message.finished) {
+        } else if (endsMessage && message.nonDelivery == null && !message.finished) {
             if (result == Result.OK) {
                 stats.countCompleted(message.content.requestClass());
             } else {
@@ -466,13 +524,13 @@
         } else if (!message.finished) {
             journal.recordResult(attempt);
         }
-        boolean closed = message.finished || message.nonDelivery != null;
-        long elapsed = clock.micros() - attempt.sentAt;
+        boolean requestClosed = message.finished || message.nonDelivery != null;
+        long elapsedMicros = clock.micros() - attempt.sentAt;
         if (successor == null) {
-            addEvent(new Policy.AttemptEnded(message.number, attempt.number, attempt.route, result, closed, wait, elapsed,
-                    report));
+            addEvent(new Policy.AttemptEnded(message.number, attempt.number, attempt.route, result, requestClosed,
+                    retryAfterMicros, elapsedMicros, report));
         } else {
-            successor.sendOutcome(attempt.route, result, wait, elapsed, hostClient.callsInFlight());
+            successor.sendOutcome(attempt.route, result, retryAfterMicros, elapsedMicros, hostClient.callsInFlight());
             offerToSuccessor(message);
         }
         removeIfSettled(message);
@@ -484,13 +542,13 @@
     }
 
     @Override
-    public void probeEnded(String route, Result result, long wait, long elapsed, LimitReport report) {
-        addEvent(new Policy.ProbeEnded(route, result, wait, elapsed, report));
+    public void probeEnded(String route, Result result, long retryAfterMicros, long elapsedMicros, LimitReport report) {
+        addEvent(new Policy.ProbeEnded(route, result, retryAfterMicros, elapsedMicros, report));
     }
 
-    /** Nothing more is owed for a message, and no notice either. */
+    /** Closes a message for which neither a delivery nor a notice is outstanding. */
     private void finishMessage(Message message) {
-        // Guards against timers that hold every message, body and all, until its time is up.
+        // A running timer would keep the message and its body in memory until its deadline.
         message.overdueTimer.cancel(false);
         message.finished = true;
         openMessageCount--;
@@ -498,6 +556,7 @@
         removeIfSettled(message);
     }
 
+    /** Forgets a message once it is finished and its last attempt has ended. */
     private void removeIfSettled(Message message) {
         if (message.finished && !message.hasAttemptsInFlight()) {
             messagesByNumber.remove(message.number);
@@ -505,13 +564,17 @@
         }
     }
 
-    private void endUndelivered(long id, Message.NonDelivery end) {
+    /**
+     * Ends a message without delivery, unless its end is decided. A client that still waits gets the end as its
+     * response; otherwise the platform gets a notice.
+     */
+    private void endUndelivered(long id, Message.NonDelivery nonDelivery) {
         Message message = messagesByNumber.get(id);
         if (message == null || message.nonDelivery != null || message.finished) {
             return;
         }
-        message.nonDelivery = end;
-        if (end.rejected()) {
+        message.nonDelivery = nonDelivery;
+        if (nonDelivery.rejected()) {
             counters.count("refused");
             stats.countRejected(message.content.requestClass());
         } else {
@@ -525,16 +588,17 @@
             noticeSender.send(message);
             return;
         }
-        Message.ClientReply client = message.pendingReply;
+        Message.ClientReply reply = message.pendingReply;
         message.pendingReply = null;
         finishMessage(message);
-        if (end.rejected()) {
-            client.sendRejected(end.retryAfter());
+        if (nonDelivery.rejected()) {
+            reply.sendRejected(nonDelivery.retryAfter());
         } else {
-            client.sendFailed();
+            reply.sendFailed();
         }
     }
 
+    /** The platform has received the notice of a message's end. */
     private void onNoticeAcknowledged(Message message) {
         message.finished = true;
         journal.recordDone(message);
@@ -542,20 +606,23 @@
     }
 
     @Override
-    public void updateTargets(Policy.RouteListUpdateType kind, long version, List<Target> targets) {
+    public void updateTargets(Policy.RouteListUpdateType type, long version, List<Target> targets) {
         targets.forEach(target -> knownDestinations.add(target.listed().destination()));
-        hostClient.updateTargets(kind, targets);
+        hostClient.updateTargets(type, targets);
         ready = true;
         listVersion = version;
-        listReceived |= kind != Policy.RouteListUpdateType.CACHED;
-        addEvent(new Policy.RouteListUpdate(kind, version, targets.stream().map(Target::listed).toList()));
+        listReceived |= type != Policy.RouteListUpdateType.CACHED;
+        addEvent(new Policy.RouteListUpdate(type, version, targets.stream().map(Target::listed).toList()));
     }
 
-    /** Guards, by half of the grace, against a signal that was read late. */
+    /**
+     * The list counts as delivered in {@code dueInMicros}; routes that drain may be used for the drain grace after
+     * that. Half of the grace is kept in reserve, for a reload signal that was read late.
+     */
     @Override
-    public void listStale(long in) {
+    public void listStale(long dueInMicros) {
         long now = clock.micros();
-        addEvent(new Policy.RouteListStale(now, now + in + settings.rules().drainGraceMicros() / 2));
+        addEvent(new Policy.RouteListStale(now, now + dueInMicros + settings.rules().drainGraceMicros() / 2));
     }
 
     @Override
@@ -567,8 +634,8 @@
     }
 
     @Override
-    public void rejectRequest(long id, long retryIn) {
-        endUndelivered(id, new Message.NonDelivery(true, retryIn));
+    public void rejectRequest(long id, long retryAfterMicros) {
+        endUndelivered(id, new Message.NonDelivery(true, retryAfterMicros));
     }
 
     @Override
@@ -577,8 +644,8 @@
     }
 
     @Override
-    public void setTimer(long name, long delay) {
-        loop.schedule(() -> addEvent(new Policy.TimerFired(name)), delay, TimeUnit.MICROSECONDS);
+    public void setTimer(long timer, long delayMicros) {
+        loop.schedule(() -> addEvent(new Policy.TimerFired(timer)), delayMicros, TimeUnit.MICROSECONDS);
     }
 
     @Override
@@ -591,11 +658,11 @@
         hostClient.closeIdle(route);
     }
 
-    /** Relays on sockets have no way to talk to each other. */
+    /** Does nothing: relay processes on sockets have no connection to each other. */
     @Override
     public void sendPeerNote(int relay, byte[] bytes) { }
 
-    /** The watch on discovery runs all the time. */
+    /** Does nothing: this process follows discovery all the time. */
     @Override
     public void setRouteListSubscription(boolean on) { }
 
--- a/src/main/java/drumdeal/relay/IntervalCounters.java
+++ b/src/main/java/drumdeal/relay/IntervalCounters.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** What has happened since the last line of figures, each thing by its name. */
+/** Counts events by name, from one periodic log line to the next. */
 final class IntervalCounters {
     private final Map<String, Integer> counts = new LinkedHashMap<>();
 
-    void count(String what) {
-        counts.merge(what, 1, Integer::sum);
+    void count(String name) {
+        counts.merge(name, 1, Integer::sum);
     }
 
-    /** Says all counts and starts again from nothing; empty where nothing has happened. */
+    /** Formats all counts for the log and resets them; empty where nothing was counted. */
     String formatAndReset() {
-        String text = counts.entrySet().stream().map(e -> e.getKey() + " " + e.getValue())
+        String text = counts.entrySet().stream().map(entry -> entry.getKey() + " " + entry.getValue())
                 .collect(Collectors.joining(", "));
         counts.clear();
         return text;
