--- a/src/main/java/drumdeal/Policy.java
+++ b/src/main/java/drumdeal/Policy.java
@@ -188,8 +188,8 @@
             boolean orderedByKey) {
         public RequestClass {
             check(goalMicros >= 0 && timeLimitMicros > goalMicros,
-                    "goal and deadline of class " + name);
-            check(dedupWindowMicros >= 0, "keyWindow of class " + name);
+                    "goal-time-s must not be negative and deadline-s must be above it: class " + name);
+            check(dedupWindowMicros >= 0, "dedup-window-s must not be negative: class " + name);
         }
     }
 
@@ -251,8 +251,8 @@
             long connectTimeoutMicros) {
         public Limits {
             check(callSlots > 0, "callSlots: must be above 0");
-            check(maxOpenRequests > 0, "maxOpen: must be above 0");
-            check(maxAttempts > 0, "maxAttempts: must be above 0");
+            check(maxOpenRequests > 0, "max-open: must be above 0");
+            check(maxAttempts > 0, "send-cap: must be above 0");
         }
     }
 
@@ -281,8 +281,8 @@
             long maxDiscoveryIntervalMicros, long orderPauseMicros) {
         public ServiceRules {
             check(drainGraceMicros >= 0 && collapseWindowMicros >= 0 && warmUpMicros >= 0,
-                    "spans of the rules: must not be negative");
-            check(orderPauseMicros >= 0, "orderPause: must not be negative");
+                    "drain-grace-s, fall-s and warm-up-s: must not be negative");
+            check(orderPauseMicros >= 0, "order-pause-s: must not be negative");
         }
     }
 
@@ -316,8 +316,8 @@
             RateHint rateHint, double crossZonePrice) {
         public Settings {
             check(!classes.isEmpty(), "classes: at least one is needed");
-            check(fleetSize > 0, "fleetSize: must be above 0");
-            check(rules.collapseLoadMultiple() > 0, "fallMultiple: must be above 0");
+            check(fleetSize > 0, "fleet-size: must be above 0");
+            check(rules.collapseLoadMultiple() > 0, "fall-multiple: must be above 0");
         }
     }
 
