--- a/src/main/java/drumdeal/DeliveryState.java
+++ b/src/main/java/drumdeal/DeliveryState.java
@@ -13,108 +13,198 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What {@link DeliveryPolicy} remembers; it holds no decision. */
+/**
+ * The data that {@link DeliveryPolicy} keeps between rounds about routes, limits, calls and requests. All
+ * decisions are made there; most classes here are plain data.
+ *
+ * <p>Names that end in {@code At}, {@code Until} or {@code Since} are instants in microseconds on the clock
+ * of the rounds, 0 or {@link #NEVER} if there was none; names that end in {@code Micros} are spans in
+ * microseconds. Rates are events or calls per second.
+ */
 final class DeliveryState {
+    /**
+     * An instant before all others. Half the smallest value, so that {@code now - NEVER} does not overflow.
+     */
+    private static final long NEVER = Long.MIN_VALUE / 2;
+
     private DeliveryState() { }
 
-    enum CircuitState { CLOSED, OPEN, HALF_OPEN }
+    /**
+     * State of a circuit breaker. {@link LearnedStateCodec} stores the names, so the constants must not be
+     * renamed.
+     */
+    enum CircuitState {
+        /** Calls are allowed. */
+        CLOSED,
+        /** No calls until {@link CircuitBreaker#openUntil}. */
+        OPEN,
+        /** One trial call is allowed; its result closes or opens the circuit. */
+        HALF_OPEN
+    }
 
-    /** The circuit of a route or of a whole limit group. */
+    /** The circuit breaker of a route or of a whole limit group. */
     static final class CircuitBreaker {
         CircuitState state = CircuitState.CLOSED;
+        /** Failed calls since the last served one. */
         int consecutiveFailures;
+        /** When the circuit last changed from closed to open. */
         long openedAt;
+        /** When an open circuit may become half-open. */
         long openUntil;
+        /** Whether it opened because calls stayed unanswered, and not because calls failed. */
         boolean openedBySilence;
+        /** Whether a trial call or a probe is in flight whose result decides the state. */
         boolean trialInFlight;
     }
 
-    /** A count of events that fades with time. */
+    /** A count of events that decays exponentially with time, from which a rate per second is computed. */
     static final class DecayingRate {
-        /** In microseconds, after which an event counts for a third. */
+        /** Time after which an event has the weight 1/e, about a third. */
         static final long DEFAULT_TIME_CONSTANT_MICROS = 10_000_000;
 
         final long timeConstantMicros;
+        /** Since when events have been counted. */
         long countedSince;
+        /**
+         * Sum of the weights of all events as of {@link #updatedAt}; an event has the weight 1 when it
+         * happens.
+         */
         double count;
+        /** When the last event was counted. */
         long updatedAt;
 
         DecayingRate(long since) {
             this(since, DEFAULT_TIME_CONSTANT_MICROS);
         }
 
-        DecayingRate(long since, long span) {
+        DecayingRate(long since, long timeConstant) {
             this.countedSince = since;
-            this.timeConstantMicros = span;
+            this.timeConstantMicros = timeConstant;
         }
     }
 
+    /** A route of a destination, as last listed, and how its calls have gone. */
     static final class Route {
         final String name;
+        /** Name of its {@link Policy.DestinationKind}. */
         final String kind;
         final String zone;
         final Destination destination;
+        /** The group whose limit applies to it. */
         final LimitGroup group;
+        /** Its own circuit breaker, or that of its group if its kind has limits per route. */
         final CircuitBreaker circuit;
+        /** Whether the list has it as {@link Policy.Availability#LISTED}. */
         boolean listedInService;
-        /** Also while it drains. */
+        /**
+         * Whether the list has it as {@link Policy.Availability#LISTED} or
+         * {@link Policy.Availability#DRAINING}.
+         */
         boolean inRouteList;
+        /** Calls per second as listed, see {@link ListedRoute#ratePerSecond}; 0 if not listed. */
         double listedRatePerSecond;
+        /** Points added to its score for a near or cheap zone. */
         double zoneBonus;
+        /** Moving average of failed calls, 0 (none) to 1 (all). */
         double errorRate;
+        /** Moving average of the response time of served calls; 0 if none was served yet. */
         double responseMicros;
+        /** When a call was last answered, by success, failure or refusal. */
         long lastAnsweredAt;
-        /** When the latest call left that it has served. */
+        /** When the latest of the calls that it has served was sent. */
         long lastServedCallSentAt;
-        /** How often in a row its connections were found taken, and until when it is left to others for that. */
+        /** {@link Result#CROWDED} results since the last served call. */
         int consecutiveCrowdedResults;
+        /**
+         * Until when it gets no calls because its connections were all in use, so that other relays get
+         * them.
+         */
         long connectionBackoffUntil;
+        /** In the order in which they were sent. */
         final ArrayDeque<Call> callsInFlight = new ArrayDeque<>();
 
-        Route(ListedRoute entry, Destination destination, LimitGroup group, boolean apart) {
+        /** {@code hasOwnLimit} says that no other route belongs to the group. */
+        Route(ListedRoute entry, Destination destination, LimitGroup group, boolean hasOwnLimit) {
             name = entry.route();
             kind = entry.kind();
             zone = entry.zone();
             this.destination = destination;
             this.group = group;
-            circuit = apart ? group.circuit : new CircuitBreaker();
+            circuit = hasOwnLimit ? group.circuit : new CircuitBreaker();
         }
     }
 
-    /** What shares one limit: a route where routes are apart, else all routes of the destination. */
+    /**
+     * Routes that share one limit: a single route if its kind has limits per route, else all routes of a
+     * destination.
+     */
     static final class LimitGroup {
         private static final long RECENT_TIME_CONSTANT_MICROS = 2_000_000;
 
+        /**
+         * The destination's number, or a hash of the route's name if its kind has limits per route. It is
+         * the same in all relays and also determines which of them coordinates the group.
+         */
         final int number;
+        /** Circuit breaker for all routes of the group together. */
         final CircuitBreaker circuit = new CircuitBreaker();
         final List<Route> routes = new ArrayList<>();
+        /** Calls of this relay that were served. */
         final DecayingRate servedRate;
+        /** Calls and probes that this relay has sent. */
         final DecayingRate sentRate;
-        /** As {@link #sentRate}, of the last two seconds. */
+        /** Calls that this relay has sent, over about the last two seconds. */
         final DecayingRate recentSentRate;
+        /** Calls per second that this relay allows itself; infinite until the first refusal. */
         double pacingRate = Double.POSITIVE_INFINITY;
-        /** At what pace the last refusal came. */
+        /**
+         * Calls per second that this relay sent before the last reduction of {@link #pacingRate}, or before
+         * an earlier one if that was more and no call was served in between; 0 if there was none.
+         */
         double refusedPacingRate;
-        /** Of the calls sent since the last cut. */
+        /** Calls sent since {@link #lastCutAt} that were served. */
         int servedSinceCut;
+        /** Calls sent since {@link #lastCutAt} that were refused. */
         int refusedSinceCut;
+        /** When the pacing allows the next call. */
         long nextCallAt;
+        /** Until when the destination has asked this relay to send nothing. */
         long retryAfterUntil;
-        long lastCutAt = Long.MIN_VALUE / 2;
+        /** When {@link #pacingRate} was last reduced. */
+        long lastCutAt = NEVER;
+        /** When {@link #pacingRate} was last updated, up or down. */
         long lastGrownAt;
+        /** {@link Result#FULL} and {@link Result#CROWDED} results since the last served call. */
         int consecutiveRefusals;
+        /** When the first of {@link #consecutiveRefusals} came. */
         long refusedSince;
+        /**
+         * Calls per second in the last {@link Policy.LimitReport}, for all relays together; 0 if none was
+         * reported.
+         */
         double reportedRate;
+        /** Calls per second that this relay sent before the last outage; 0 if there was none. */
         double usualRate;
-        long slowStartedAt = Long.MIN_VALUE / 2;
+        /** When the slow start after an outage began, or began again because of a failure. */
+        long slowStartedAt = NEVER;
+        /** Number of calls in flight to all routes of the group. */
         int callsInFlight;
+        /** Whether this relay has asked the coordinator for a token and not received one yet. */
         boolean tokenRequested;
+        /** Whether the coordinator has allowed this relay a trial whose result it still has to report. */
         boolean reportsTrialResult;
+        /** When {@link #tokenRequested} was last set. */
         long tokenRequestedAt;
+        /** Until when the last token allows a call; a call that is sent uses the token up. */
         long tokenValidUntil;
+        /** Until when calls need a token of the coordinator. */
         long coordinatedUntil;
-        /** When the next call may go that is owed to what a restart has found and is made whatever the pace. */
+        /**
+         * When the next call for a resumed request may go; such calls go shortly before the request's
+         * deadline whatever {@link #pacingRate} is.
+         */
         long nextResumedCallAt;
+        /** Used only if this relay is the group's coordinator. */
         final TokenCoordinator coordinator = new TokenCoordinator();
 
         LimitGroup(int number, long since) {
@@ -125,31 +215,75 @@
         }
     }
 
-    /** What notes between relays say of a group. */
+    /**
+     * What a note between relays says about a limit group. Notes carry the position as their first byte, so
+     * the constants must not be reordered.
+     */
     enum PeerNoteType {
-        UNKNOWN, TOKEN_REQUEST, CALL_REFUSED, CALL_FAILED, CALL_SERVED, TOKEN_GRANT, TRIAL_GRANT, COORDINATION_START;
+        /** Sent by no relay of this version; notes of this type are ignored. */
+        UNKNOWN,
+        /** To the coordinator: the sender asks for a token. */
+        TOKEN_REQUEST,
+        /** To the coordinator: a call was refused; the sender also asks for a token. */
+        CALL_REFUSED,
+        /**
+         * To the coordinator: a granted trial failed, or a call failed and its circuit is open; the sender
+         * also asks for a token.
+         */
+        CALL_FAILED,
+        /**
+         * To the coordinator: a granted trial, or a call while the group's circuit was not closed, was
+         * served.
+         */
+        CALL_SERVED,
+        /** From the coordinator: the receiver may send one call. */
+        TOKEN_GRANT,
+        /** From the coordinator: the receiver may send one trial call to a destination that is failing. */
+        TRIAL_GRANT,
+        /** From the coordinator to all: calls to the group need a token for a while. */
+        COORDINATION_START;
 
+        /** The type at a position; {@link #UNKNOWN} if there is none. */
         static PeerNoteType fromOrdinal(int ordinal) {
             return ordinal > 0 && ordinal < values().length ? values()[ordinal] : UNKNOWN;
         }
     }
 
-    /** What the relay that gives a group's turns remembers. */
+    /**
+     * What the relay that coordinates a limit group keeps in order to grant tokens, one at a time, to all
+     * relays.
+     */
     static final class TokenCoordinator {
+        /** Indices of the relays that wait for a token, in the order of their requests. */
         final Set<Integer> waitingRelays = new LinkedHashSet<>();
+        /** Tokens per second as a multiple of the group's limit: reduced by refusals, then growing. */
         double limitFactor = 1;
+        /** Failed calls that relays have reported since the last served one. */
         int failures;
+        /** When the next token may be granted. */
         long nextTokenAt;
-        long lastCutAt = Long.MIN_VALUE / 2;
-        long recoveredAt = Long.MIN_VALUE / 2;
-        long announcedAt = Long.MIN_VALUE / 2;
+        /** When {@link #limitFactor} was last reduced. */
+        long lastCutAt = NEVER;
+        /**
+         * When a call was first served after an outage; tokens are granted at a slow start's rate from then
+         * on.
+         */
+        long recoveredAt = NEVER;
+        /** When {@link PeerNoteType#COORDINATION_START} was last sent. */
+        long announcedAt = NEVER;
+        /** When {@link #limitFactor} was last increased. */
         long lastGrownAt;
     }
 
+    /** A destination, its routes, and the requests that wait for one of them. */
     static final class Destination {
+        /** By name. */
         final Map<String, Route> routes = new LinkedHashMap<>();
+        /** Requests without an attempt in flight, in the order in which they began to wait. */
         final Set<Request> waiting = new LinkedHashSet<>();
+        /** Requests accepted. */
         final DecayingRate acceptedRate;
+        /** Requests whose time was up before they were delivered. */
         final DecayingRate expiredRate;
 
         Destination(long since) {
@@ -158,25 +292,35 @@
         }
     }
 
-    /** One call at a destination, which may carry several requests. */
+    /** One call to a route, which may carry several requests. */
     static final class Call {
+        /** Null for a past attempt of a resumed request whose route is not listed. */
         final Route route;
         final long sentAt;
+        /** Whether its result decides the state of an open circuit. */
         final boolean trial;
         final List<Request> requests = new ArrayList<>(1);
+        /** Attempts in this call that have not ended; the call is in flight while there are any. */
         int pendingAttempts;
+        /**
+         * Whether the call's result has been counted for its route and group; that is done once a call,
+         * with the attempt that ends first.
+         */
         boolean resultRecorded;
+        /** Whether its attempts have been cancelled. */
         boolean cancelRequested;
 
-        Call(Route route, long sentAt, boolean test) {
+        Call(Route route, long sentAt, boolean trial) {
             this.route = route;
             this.sentAt = sentAt;
-            this.trial = test;
+            this.trial = trial;
         }
     }
 
+    /** One request's part in a call. */
     static final class Attempt {
         final Call call;
+        /** Null while the attempt is in flight. */
         Result result;
 
         Attempt(Call call) {
@@ -184,44 +328,59 @@
         }
     }
 
+    /** A request that has not ended, or that has ended but still has attempts in flight. */
     static final class Request {
         final long id;
         final RequestClass requestClass;
         final int maxAttempts;
+        /** The key by which it is ordered; null if its class is not ordered by key or it has no key. */
         final String orderKey;
+        /** Its deadline minus the class's time limit. */
         final long acceptedAt;
         final long deadline;
-        /** When it ends where it has not been delivered: sooner than its deadline once no attempt is allowed any more. */
+        /**
+         * When it ends if it has not been delivered: its deadline, or earlier if no further attempt is
+         * allowed by then.
+         */
         long expiresAt;
         final Destination destination;
+        /** All attempts in order, including those of earlier processes. */
         final List<Attempt> attempts = new ArrayList<>();
         int attemptsInFlight;
+        /** Whether it has ended. */
         boolean done;
-        /** Taken up after a restart, and not tried yet. */
+        /** Whether it was resumed without having been tried, and has neither been tried since nor ended. */
         boolean resumedUntried;
 
-        Request(RequestAccepted e, RequestTerms terms, Destination destination) {
-            id = e.id();
+        Request(RequestAccepted event, RequestTerms terms, Destination destination) {
+            id = event.id();
             requestClass = terms.requestClass();
             maxAttempts = terms.maxAttempts();
-            orderKey = requestClass.orderedByKey() ? e.key() : null;
-            deadline = e.deadline();
+            orderKey = requestClass.orderedByKey() ? event.key() : null;
+            deadline = event.deadline();
             expiresAt = deadline;
             acceptedAt = deadline - requestClass.timeLimitMicros();
             this.destination = destination;
         }
 
+        /** The route of the last attempt; null if there was none or its route is not listed. */
         Route lastRoute() {
             return attempts.isEmpty() ? null : attempts.get(attempts.size() - 1).call.route;
         }
     }
 
-    /** What a restart has found taken on, and what of it has been tried so far. */
+    /**
+     * Counts the requests that were resumed from earlier processes, and what became of the untried ones
+     * among them.
+     */
     static final class ResumedRequests {
-        /** Those still to be tried, in the order taken up. */
+        /** Those that have neither been tried nor ended, in the order in which they were resumed. */
         final Set<Request> untriedRequests = new LinkedHashSet<>();
+        /** All resumed requests since the last log line. */
         int resumedCount;
+        /** How many of them had not been tried when they were resumed. */
         int untriedCount;
+        /** How many of those were tried here. */
         int triedCount;
 
         void add(Request request, boolean isUntried) {
@@ -232,7 +391,11 @@
             }
         }
 
-        /** A request was tried, or has ended; what staff are told of all once the last one was, else null. */
+        /**
+         * Records that a request was tried, or ended without having been tried.
+         *
+         * @return a summary for the log once no untried request is left, else null
+         */
         String recordTriedOrEnded(Request request, boolean isTried) {
             if (!request.resumedUntried) {
                 return null;
@@ -243,18 +406,22 @@
             if (!untriedRequests.isEmpty()) {
                 return null;
             }
-            String told = "resumed " + resumedCount + ", untried " + untriedCount + ", of these tried " + triedCount
-                    + ", given up uncalled " + (untriedCount - triedCount);
+            String summary = "resumed " + resumedCount + ", untried " + untriedCount
+                    + ", of these tried " + triedCount + ", given up uncalled " + (untriedCount - triedCount);
             resumedCount = 0;
             untriedCount = 0;
             triedCount = 0;
-            return told;
+            return summary;
         }
     }
 
-    /** The requests of one key in the order accepted. */
+    /** The requests with one key of a class that is ordered by key. */
     static final class KeyQueue {
+        /** In the order of acceptance; only the first one may be attempted. */
         final ArrayDeque<Request> requests = new ArrayDeque<>();
+        /**
+         * Until when no request may have its first attempt, as an earlier attempt may still take effect.
+         */
         long pausedUntil;
     }
 }
