--- a/src/main/java/drumdeal/DeliveryState.java
+++ b/src/main/java/drumdeal/DeliveryState.java
@@ -199,10 +199,7 @@
         long tokenValidUntil;
         /** Until when calls need a token of the coordinator. */
         long coordinatedUntil;
-        /**
-         * When the next call for a resumed request may go; such calls go shortly before the request's
-         * deadline whatever {@link #pacingRate} is.
-         */
+        /** When the next call for a resumed request may go that does not wait for {@link #pacingRate}. */
         long nextResumedCallAt;
         /** Used only if this relay is the group's coordinator. */
         final TokenCoordinator coordinator = new TokenCoordinator();
--- a/src/main/java/drumdeal/JsonReader.java
+++ b/src/main/java/drumdeal/JsonReader.java
@@ -8,39 +8,56 @@
 import java.util.List;
 import java.util.Map;
 
-/** Named access to a JSON object or to an array of values in a known order. */
+/**
+ * Typed access to the members of a JSON object or to the values of a JSON array.
+ *
+ * <p>Every {@code key} is the name of a member, as {@link String}, for an object, and the index of a value,
+ * as {@link Integer} from 0, for an array. A member or value that does not exist reads like {@code null}.
+ * All methods throw {@link JsonDataException} if a value has the wrong type.
+ */
 public final class JsonReader {
+    static final double MICROS_PER_SECOND = 1e6;
+
+    /** Where the object or array stands, for error messages. */
     private final String path;
     private final Map<?, ?> members;
     private final List<?> values;
 
-    private JsonReader(String where, Map<?, ?> members, List<?> values) {
-        this.path = where;
+    private JsonReader(String jsonPath, Map<?, ?> members, List<?> values) {
+        this.path = jsonPath;
         this.members = members;
         this.values = values;
     }
 
-    public static JsonReader ofObject(String where, Object json) {
+    /** Reads an object; {@code jsonPath} says in error messages where it stands. */
+    public static JsonReader ofObject(String jsonPath, Object json) {
         if (json instanceof Map<?, ?> members) {
-            return new JsonReader(where, members, List.of());
+            return new JsonReader(jsonPath, members, List.of());
         }
-        throw new JsonDataException(where + ": an object is needed");
+        throw new JsonDataException(jsonPath + ": an object is needed");
     }
 
-    public static JsonReader ofArray(String where, Object json) {
+    /** Reads an array; {@code jsonPath} says in error messages where it stands. */
+    public static JsonReader ofArray(String jsonPath, Object json) {
         if (json instanceof List<?> values) {
-            return new JsonReader(where, Map.of(), values);
+            return new JsonReader(jsonPath, Map.of(), values);
         }
-        throw new JsonDataException(where + ": an array is needed");
+        throw new JsonDataException(jsonPath + ": an array is needed");
     }
 
-    /** An array that begins with its own name. */
+    /** Reads a message of the simulator: an array whose first value is the name of the message. */
     static JsonReader ofMessage(Object json) {
         JsonReader message = ofArray("message", json);
         return ofArray(message.text(0), json);
     }
 
-    /** Reads the value at the parser's current token into maps, lists, text, numbers and booleans. */
+    /**
+     * Reads the value that starts at the parser's current token.
+     *
+     * @return a {@link Map}, {@link List}, {@link String}, {@link Number} or {@link Boolean}, or null for a
+     *         JSON null
+     * @throws JsonDataException if there is no value at the current token
+     */
     public static Object readValue(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
@@ -76,82 +93,96 @@
         return members;
     }
 
-    public Object value(Object at) {
-        if (at instanceof Integer index) {
+    /** The value as {@link #readValue} returns it; null if it is null or does not exist. */
+    public Object value(Object key) {
+        if (key instanceof Integer index) {
             return index < values.size() ? values.get(index) : null;
         }
-        return members.get(at);
+        return members.get(key);
     }
 
-    public JsonReader object(Object at) {
-        return ofObject(path + "." + at, value(at));
+    /** A value that must be an object. */
+    public JsonReader object(Object key) {
+        return ofObject(path + "." + key, value(key));
     }
 
-    public List<?> listOrEmpty(Object at) {
-        Object value = value(at);
+    /** A value that must be an array; an empty list if it is null or does not exist. */
+    public List<?> listOrEmpty(Object key) {
+        Object value = value(key);
         if (value == null) {
             return List.of();
         }
         if (value instanceof List<?> list) {
             return list;
         }
-        throw wrongType(at, "an array");
+        throw wrongType(key, "an array");
     }
 
-    public String text(Object at) {
-        if (value(at) instanceof String text) {
+    /** A value that must be a string. */
+    public String text(Object key) {
+        if (value(key) instanceof String text) {
             return text;
         }
-        throw wrongType(at, "text");
+        throw wrongType(key, "text");
     }
 
-    public String textOrNull(Object at) {
-        return value(at) instanceof String text ? text : null;
+    /** A value if it is a string, else null. */
+    public String textOrNull(Object key) {
+        return value(key) instanceof String text ? text : null;
     }
 
-    public double number(Object at) {
-        if (value(at) instanceof Number number) {
+    /** A value that must be a number. */
+    public double number(Object key) {
+        if (value(key) instanceof Number number) {
             return number.doubleValue();
         }
-        throw wrongType(at, "a number");
+        throw wrongType(key, "a number");
     }
 
-    public double number(Object at, double absent) {
-        return value(at) == null ? absent : number(at);
+    /** A number; {@code defaultValue} if it is null or does not exist. */
+    public double number(Object key, double defaultValue) {
+        return value(key) == null ? defaultValue : number(key);
     }
 
-    public long integer(Object at) {
-        if (value(at) instanceof Number number) {
+    /** A value that must be a number; a fraction is cut off. */
+    public long integer(Object key) {
+        if (value(key) instanceof Number number) {
             return number.longValue();
         }
-        throw wrongType(at, "a whole number");
+        throw wrongType(key, "a whole number");
     }
 
-    public long integer(Object at, long absent) {
-        return value(at) == null ? absent : integer(at);
+    /** An integer; {@code defaultValue} if it is null or does not exist. */
+    public long integer(Object key, long defaultValue) {
+        return value(key) == null ? defaultValue : integer(key);
     }
 
-    public boolean booleanOrFalse(Object at) {
-        Object value = value(at);
+    /** A value that must be a boolean; false if it is null or does not exist. */
+    public boolean booleanOrFalse(Object key) {
+        Object value = value(key);
         if (value == null) {
             return false;
         }
         if (value instanceof Boolean flag) {
             return flag;
         }
-        throw wrongType(at, "true or false");
+        throw wrongType(key, "true or false");
     }
 
-    /** Seconds on the wire as microseconds. */
-    public long secondsAsMicros(Object at) {
-        return Math.round(number(at) * 1e6);
+    /** A number of seconds, in microseconds. */
+    public long secondsAsMicros(Object key) {
+        return Math.round(number(key) * MICROS_PER_SECOND);
     }
 
-    public long secondsAsMicros(Object at, long absent) {
-        return value(at) == null ? absent : secondsAsMicros(at);
+    /**
+     * A number of seconds, in microseconds; {@code defaultValue} microseconds if it is null or does not
+     * exist.
+     */
+    public long secondsAsMicros(Object key, long defaultValue) {
+        return value(key) == null ? defaultValue : secondsAsMicros(key);
     }
 
-    private JsonDataException wrongType(Object at, String what) {
-        return new JsonDataException(path + ": value " + at + " must be " + what);
+    private JsonDataException wrongType(Object key, String expected) {
+        return new JsonDataException(path + ": value " + key + " must be " + expected);
     }
 }
--- a/src/main/java/drumdeal/LearnedStateCodec.java
+++ b/src/main/java/drumdeal/LearnedStateCodec.java
@@ -14,13 +14,25 @@
 import java.io.UncheckedIOException;
 import java.util.Map;
 
-/** What of {@link DeliveryState} outlives the process in an upgrade: all but requests, calls out and notes. */
+/**
+ * Encodes what {@link DeliveryPolicy} has learned about destinations, limit groups and routes, for the next
+ * process of the relay: after a restart, from the {@code health} file, or in an upgrade, from the handover.
+ * Requests, calls in flight and the state of notes between relays are left out.
+ *
+ * <p>Layout, in the order of {@link DataOutputStream}: the version; the number of destinations and, for
+ * each, its number and its two rates; the number of limit groups and each group; the number of routes and,
+ * for each, its name, error rate, response time, time of its last answer, and circuit. Other processes read
+ * it, so a change needs another version.
+ */
 final class LearnedStateCodec {
+    /** Format version, the first value. Data of another version is ignored. */
     private static final int VERSION = 2;
 
     private LearnedStateCodec() { }
 
-    static byte[] encode(Map<Integer, Destination> destinations, Map<Integer, LimitGroup> groups, Map<String, Route> routes) {
+    /** Encodes the state of everything in the given maps. */
+    static byte[] encode(Map<Integer, Destination> destinations, Map<Integer, LimitGroup> groups,
+            Map<String, Route> routes) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeInt(VERSION);
@@ -48,38 +60,43 @@
         return bytes.toByteArray();
     }
 
-    /** Takes in what is known of routes in the list; what another version of the software wrote is passed over. */
-    static void restore(byte[] memory, Map<Integer, Destination> destinations, Map<Integer, LimitGroup> groups,
-            Map<String, Route> routes) {
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(memory))) {
-            if (memory.length == 0 || in.readInt() != VERSION) {
+    /**
+     * Copies encoded state into the destinations, groups and routes that exist in the given maps. Entries
+     * for others, and data of another format version, are ignored. If the data is damaged, what was read
+     * before the damage stays in effect.
+     */
+    static void restore(byte[] encoded, Map<Integer, Destination> destinations,
+            Map<Integer, LimitGroup> groups, Map<String, Route> routes) {
+        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(encoded))) {
+            if (encoded.length == 0 || in.readInt() != VERSION) {
                 return;
             }
-            for (int left = in.readInt(); left > 0; left--) {
+            for (int remaining = in.readInt(); remaining > 0; remaining--) {
+                // An entry that is not in the map is read all the same, into an object that is dropped.
                 Destination known = destinations.get(in.readInt());
                 Destination destination = known == null ? new Destination(0) : known;
                 read(in, destination.acceptedRate);
                 read(in, destination.expiredRate);
             }
-            for (int left = in.readInt(); left > 0; left--) {
+            for (int remaining = in.readInt(); remaining > 0; remaining--) {
                 int number = in.readInt();
                 LimitGroup known = groups.get(number);
                 read(in, known == null ? new LimitGroup(number, 0) : known);
             }
-            for (int left = in.readInt(); left > 0; left--) {
+            for (int remaining = in.readInt(); remaining > 0; remaining--) {
                 Route known = routes.get(in.readUTF());
                 double errorRate = in.readDouble();
-                double response = in.readDouble();
-                long answeredAt = in.readLong();
+                double responseMicros = in.readDouble();
+                long lastAnsweredAt = in.readLong();
                 read(in, known == null ? new CircuitBreaker() : known.circuit);
                 if (known != null) {
                     known.errorRate = errorRate;
-                    known.responseMicros = response;
-                    known.lastAnsweredAt = answeredAt;
+                    known.responseMicros = responseMicros;
+                    known.lastAnsweredAt = lastAnsweredAt;
                 }
             }
         } catch (IOException | IllegalArgumentException e) {
-            // What has been read so far holds; the rest is learned anew.
+            // What has been read so far stays in effect; the rest is learned again.
             return;
         }
     }
@@ -94,9 +111,9 @@
         out.writeDouble(group.reportedRate);
         out.writeDouble(group.usualRate);
         out.writeInt(group.consecutiveRefusals);
-        for (long time : new long[] {group.nextCallAt, group.retryAfterUntil, group.lastCutAt, group.lastGrownAt, group.refusedSince,
-            group.slowStartedAt}) {
-            out.writeLong(time);
+        for (long instant : new long[] {group.nextCallAt, group.retryAfterUntil, group.lastCutAt,
+            group.lastGrownAt, group.refusedSince, group.slowStartedAt}) {
+            out.writeLong(instant);
         }
     }
 
--- a/src/main/java/drumdeal/SimulatorAdapter.java
+++ b/src/main/java/drumdeal/SimulatorAdapter.java
@@ -20,38 +20,56 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** Hosts one decision module for each simulated relay and speaks the simulator's wire. */
+/**
+ * Connects decision modules to the simulator: hosts one module for each simulated relay, called an instance
+ * on the wire.
+ *
+ * <p>The simulator sends a batch as one JSON line and waits for one JSON line in reply. A batch
+ * {@code {"t-s":...,"n":...,"groups":[{"i":...,"in":[...]},...]}} has the time in seconds, its own number,
+ * and for each instance its messages; a batch is one round of each instance that it launches or has events
+ * for. The reply {@code {"n":...,"groups":[{"i":...,"cmds":[...]},...]}} has the number of the batch and
+ * the commands of each instance. {@link JsonCodec} describes messages and commands.
+ */
 public final class SimulatorAdapter {
     private final JsonFactory jsonFactory = new JsonFactory();
     private final JsonCodec codec = new JsonCodec();
     private final Function<Policy.Settings, Policy> moduleFactory;
     private final Map<Long, Policy> modulesByInstance = new HashMap<>();
+    /**
+     * Events of the batch that is being read, by instance; an instance in it gets a round even without
+     * events.
+     */
     private final Map<Long, List<Policy.Event>> pendingEvents = new LinkedHashMap<>();
 
-    /** A host that makes each instance's module by {@code start}. */
-    SimulatorAdapter(Function<Policy.Settings, Policy> start) {
-        this.moduleFactory = start;
+    /** Creates an adapter that makes each instance's module by {@code factory}. */
+    SimulatorAdapter(Function<Policy.Settings, Policy> factory) {
+        this.moduleFactory = factory;
     }
 
-    /** Runs the decision module on standard input and output until the input ends. */
+    /** Serves a simulator on standard input and output until the input ends. */
     public static void runOnStandardStreams() throws IOException {
-        new SimulatorAdapter(DeliveryPolicy::new).run(new InputStreamReader(System.in, StandardCharsets.UTF_8),
+        new SimulatorAdapter(DeliveryPolicy::new).run(
+                new InputStreamReader(System.in, StandardCharsets.UTF_8),
                 new OutputStreamWriter(System.out, StandardCharsets.UTF_8));
     }
 
-    /** Answers each line of {@code in} by one line on {@code out}. */
+    /**
+     * Answers each line of {@code in} by one line on {@code out}, until the input ends.
+     *
+     * @throws JsonDataException if a line cannot be read; its message names the line
+     */
     void run(Reader in, Writer out) throws IOException {
         BufferedReader lines = new BufferedReader(in);
         BufferedWriter replies = new BufferedWriter(out);
-        long number = 0;
+        long lineNumber = 0;
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-            number++;
+            lineNumber++;
             try {
                 replies.write(processBatch(line));
             } catch (JsonProcessingException e) {
-                throw new JsonDataException("line " + number + ": not JSON: " + e.getOriginalMessage());
+                throw new JsonDataException("line " + lineNumber + ": not JSON: " + e.getOriginalMessage());
             } catch (JsonDataException e) {
-                throw new JsonDataException("line " + number + ": " + e.getMessage());
+                throw new JsonDataException("line " + lineNumber + ": " + e.getMessage());
             }
             replies.write('\n');
             replies.flush();
@@ -68,7 +86,7 @@
             }
         }
         long now = batch.secondsAsMicros("t-s");
-        long number = batch.integer("n");
+        long batchNumber = batch.integer("n");
         pendingEvents.clear();
         for (Object json : batch.listOrEmpty("groups")) {
             JsonReader group = JsonReader.ofObject("group", json);
@@ -77,9 +95,13 @@
                 handleMessage(instance, JsonReader.ofMessage(message));
             }
         }
-        return buildReply(number, now);
+        return buildReply(batchNumber, now);
     }
 
+    /**
+     * Stores a route list, starts or ends the module of an instance, or adds an event; events without a
+     * module are ignored.
+     */
     private void handleMessage(long instance, JsonReader message) {
         String name = message.text(0);
         switch (name) {
@@ -95,7 +117,7 @@
             default -> {
                 Policy.Event event = codec.readEvent(name, message);
                 if (modulesByInstance.containsKey(instance)) {
-                    pendingEvents.computeIfAbsent(instance, i -> new ArrayList<>()).add(event);
+                    pendingEvents.computeIfAbsent(instance, key -> new ArrayList<>()).add(event);
                 }
             }
         }
@@ -109,17 +131,18 @@
         }
     }
 
-    private String buildReply(long number, long now) throws IOException {
+    private String buildReply(long batchNumber, long now) throws IOException {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = jsonFactory.createGenerator(text)) {
             json.writeStartObject();
-            json.writeNumberField("n", number);
+            json.writeNumberField("n", batchNumber);
             json.writeArrayFieldStart("groups");
             for (Map.Entry<Long, List<Policy.Event>> entry : pendingEvents.entrySet()) {
                 json.writeStartObject();
                 json.writeNumberField("i", entry.getKey());
                 json.writeArrayFieldStart("cmds");
-                runRound(modulesByInstance.get(entry.getKey()), now, entry.getValue(), new JsonCodec.CommandWriter(json));
+                runRound(modulesByInstance.get(entry.getKey()), now, entry.getValue(),
+                        new JsonCodec.CommandWriter(json));
                 json.writeEndArray();
                 json.writeEndObject();
             }
@@ -129,7 +152,11 @@
         return text.toString();
     }
 
-    private static void runRound(Policy policy, long now, List<Policy.Event> events, JsonCodec.CommandWriter commands) {
+    /**
+     * Runs a round of one instance; an exception of its module is reported to the simulator as a command.
+     */
+    private static void runRound(Policy policy, long now, List<Policy.Event> events,
+            JsonCodec.CommandWriter commands) {
         try {
             policy.onRound(now, events, commands);
         } catch (RuntimeException e) {
