--- a/src/main/java/drumdeal/JsonCodec.java
+++ b/src/main/java/drumdeal/JsonCodec.java
@@ -91,14 +91,14 @@
             case "cached" -> Policy.RouteListUpdateType.CACHED;
             case "delta" -> Policy.RouteListUpdateType.CHANGES;
             case "failed" -> Policy.RouteListUpdateType.FAILED;
-            default -> throw new JsonDataException("discovery: unknown kind " + message.text(1));
+            default -> throw new JsonDataException("discovery: unknown type of update " + message.text(1));
         };
         if (type == Policy.RouteListUpdateType.FAILED) {
             return new Policy.RouteListUpdate(type, message.integer(2, 0), List.of());
         }
         List<Policy.ListedRoute> entries = routeListsByNumber.get(message.integer(3));
         if (entries == null) {
-            throw new JsonDataException("discovery: no directory " + message.integer(3));
+            throw new JsonDataException("discovery: unknown directory number " + message.integer(3));
         }
         return new Policy.RouteListUpdate(type, message.integer(2), entries);
     }
@@ -125,7 +125,7 @@
             case "reset" -> Policy.Result.RESET;
             case "cancelled" -> Policy.Result.CANCELLED;
             case "moot" -> Policy.Result.NOT_SENT;
-            default -> throw new JsonDataException("unknown completion code " + code);
+            default -> throw new JsonDataException("unknown result code " + code);
         };
     }
 
@@ -134,7 +134,7 @@
             case "IN" -> Policy.Availability.LISTED;
             case "LAME" -> Policy.Availability.DRAINING;
             case "OUT" -> Policy.Availability.REMOVED;
-            default -> throw new JsonDataException("directory entry: unknown availability " + state);
+            default -> throw new JsonDataException("directory entry: unknown state " + state);
         };
     }
 
@@ -142,7 +142,7 @@
         try {
             return HexFormat.of().parseHex(hex);
         } catch (IllegalArgumentException e) {
-            throw new JsonDataException("memo: blob is not hex");
+            throw new JsonDataException("memo: payload is not hexadecimal");
         }
     }
 
--- a/src/main/java/drumdeal/JsonReader.java
+++ b/src/main/java/drumdeal/JsonReader.java
@@ -34,7 +34,7 @@
         if (json instanceof Map<?, ?> members) {
             return new JsonReader(jsonPath, members, List.of());
         }
-        throw new JsonDataException(jsonPath + ": an object is needed");
+        throw new JsonDataException(jsonPath + ": must be an object");
     }
 
     /** Reads an array; {@code jsonPath} says in error messages where it stands. */
@@ -42,7 +42,7 @@
         if (json instanceof List<?> values) {
             return new JsonReader(jsonPath, Map.of(), values);
         }
-        throw new JsonDataException(jsonPath + ": an array is needed");
+        throw new JsonDataException(jsonPath + ": must be an array");
     }
 
     /** Reads a message of the simulator: an array whose first value is the name of the message. */
@@ -61,7 +61,7 @@
     public static Object readValue(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
-            throw new JsonDataException("the line ends early");
+            throw new JsonDataException("JSON ends where a value is expected");
         }
         return switch (token) {
             case START_ARRAY -> readArray(parser);
@@ -71,7 +71,7 @@
             case VALUE_TRUE -> Boolean.TRUE;
             case VALUE_FALSE -> Boolean.FALSE;
             case VALUE_NULL -> null;
-            default -> throw new JsonDataException("unexpected " + token);
+            default -> throw new JsonDataException("unexpected JSON token " + token);
         };
     }
 
--- a/src/main/java/drumdeal/SimulatorAdapter.java
+++ b/src/main/java/drumdeal/SimulatorAdapter.java
@@ -82,7 +82,7 @@
             parser.nextToken();
             batch = JsonReader.ofObject("batch", JsonReader.readValue(parser));
             if (parser.nextToken() != null) {
-                throw new JsonDataException("batch: more than one value");
+                throw new JsonDataException("batch: more than one JSON value in the line");
             }
         }
         long now = batch.secondsAsMicros("t-s");
