--- a/deploy/Training.java
+++ b/deploy/Training.java
@@ -15,36 +15,37 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Has a relay do once what it will do in service, so that the archive which its JVM writes at the end holds the classes
- * for it: takes over from another process, delivers a few messages, answers operators, takes settings anew. It measures
- * nothing. Arguments: the relay's command.
+ * Runs a relay through its usual work once, so that the class archive which its JVM writes at exit contains the classes
+ * needed in service: it takes over from another process, delivers a few messages, answers operators and reloads its
+ * configuration. This program measures nothing. Arguments: the relay's command line.
  */
 final class Training {
+    /** Messages of each class. */
     private static final int MESSAGES = 12;
     private static final Path FOLDER = Path.of("target/training");
-    /** What the endpoint answers, one call after another; all else is served. */
+    /** Statuses with which the endpoint answers its first calls, in this order; it answers all others with 200. */
     private static final int[] ANSWERS = {200, 200, 503, 500, 429};
 
     private Training() { }
 
     public static void main(String[] command) throws Exception {
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        HttpServer peer = HttpServer.create(any, 0);
-        peer.setExecutor(Executors.newCachedThreadPool(work -> {
-            Thread thread = new Thread(work);
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        HttpServer server = HttpServer.create(anyPort, 0);
+        server.setExecutor(Executors.newCachedThreadPool(task -> {
+            Thread thread = new Thread(task);
             thread.setDaemon(true);
             return thread;
         }));
-        String address = "127.0.0.1:" + peer.getAddress().getPort();
-        AtomicInteger calls = new AtomicInteger();
-        peer.createContext("/", exchange -> answer(exchange, address, calls));
-        peer.start();
+        String address = "127.0.0.1:" + server.getAddress().getPort();
+        AtomicInteger callCount = new AtomicInteger();
+        server.createContext("/", exchange -> answer(exchange, address, callCount));
+        server.start();
         Files.createDirectories(FOLDER);
         Path config = FOLDER.resolve("config.json");
         Files.writeString(config, Files.readString(Path.of("deploy/training.json")).replace("127.0.0.1:9", address));
-        List<String> older = new ArrayList<>(List.of(command));
-        older.removeIf(part -> part.startsWith("-XX:ArchiveClassesAtExit"));
-        Process predecessor = start(older, config);
+        List<String> predecessorCommand = new ArrayList<>(List.of(command));
+        predecessorCommand.removeIf(argument -> argument.startsWith("-XX:ArchiveClassesAtExit"));
+        Process predecessor = start(predecessorCommand, config);
         ports(predecessor);
         Process relay = start(List.of(command), config);
         int[] ports = ports(relay);
@@ -56,19 +57,20 @@
                 }
             }
         }
-        for (String call : List.of("GET /healthcheck", "GET /stats", "POST /healthcheck/fail", "POST /healthcheck/ok")) {
+        for (String requestLine : List.of("GET /healthcheck", "GET /stats", "POST /healthcheck/fail",
+                "POST /healthcheck/ok")) {
             try (Socket operator = new Socket(InetAddress.getLoopbackAddress(), ports[0])) {
-                exchange(operator, call + " HTTP/1.1\r\nHost: x\r\n\r\n");
+                exchange(operator, requestLine + " HTTP/1.1\r\nHost: x\r\n\r\n");
             }
         }
         new ProcessBuilder("kill", "-HUP", Long.toString(relay.pid())).start().waitFor();
-        // Long enough for the line of figures that comes every two seconds.
+        // Long enough for the line of counters that the relay logs every two seconds.
         relay.waitFor(2500, TimeUnit.MILLISECONDS);
         relay.destroy();
         relay.waitFor(8, TimeUnit.SECONDS);
         relay.destroyForcibly();
         predecessor.destroyForcibly();
-        peer.stop(0);
+        server.stop(0);
     }
 
     private static Process start(List<String> command, Path config) throws IOException {
@@ -79,7 +81,7 @@
         return builder.start();
     }
 
-    /** The ports for operators and for clients, in the order in which the relay tells of them. */
+    /** Reads the ports for operators and for clients, in this order, from the relay's start-up lines. */
     private static int[] ports(Process relay) throws IOException {
         BufferedReader lines = relay.errorReader();
         int[] ports = new int[2];
@@ -100,12 +102,14 @@
                 + "\r\nX-Consignee: dest=1\r\nContent-Length: 1\r\n\r\nx";
     }
 
+    /** Sends a request and waits for the beginning of the answer. */
     private static void exchange(Socket socket, String request) throws IOException {
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
         socket.getInputStream().read(new byte[4096]);
     }
 
-    private static void answer(HttpExchange exchange, String address, AtomicInteger calls) throws IOException {
+    /** Answers as discovery, as the platform that receives notices, and as the endpoint of all routes. */
+    private static void answer(HttpExchange exchange, String address, AtomicInteger callCount) throws IOException {
         exchange.getRequestBody().readAllBytes();
         String path = exchange.getRequestURI().toString();
         String body = "";
@@ -118,7 +122,7 @@
         } else if (path.equals("/status")) {
             status = 204;
         } else {
-            int call = calls.getAndIncrement();
+            int call = callCount.getAndIncrement();
             status = call < ANSWERS.length ? ANSWERS[call] : status;
             exchange.getResponseHeaders().set("X-Come-Back-Ms", "100");
         }
@@ -129,10 +133,12 @@
     }
 
     private static String target(String uid, String address) {
-        return "{\"uid\":\"" + uid + "\",\"endpoint\":\"" + address + "\",\"az\":\"a\",\"model\":\"one\",\"pod_group\":1,"
+        return "{\"uid\":\"" + uid + "\",\"endpoint\":\"" + address
+                + "\",\"az\":\"a\",\"model\":\"one\",\"pod_group\":1,"
                 + "\"state\":\"in_service\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
+    /** Delays the answer to a watch, as discovery does while nothing changes. */
     private static void pause() {
         try {
             Thread.sleep(500);
