--- a/src/main/java/drumdeal/Policy.java
+++ b/src/main/java/drumdeal/Policy.java
@@ -162,26 +162,31 @@
     }
 
     /**
-     * A class of request.
+     * A class of request, set by an entry of {@code classes} in the settings.
      *
      * <p>A delivery within {@code goalMicros} of acceptance has the full value. After that the value either
      * falls linearly to {@code lateValueShare} of it at the deadline, or halves with each further
      * {@code goalMicros} but not below {@code lateValueShare} of it; {@link Settings#lateValueHalves}
      * selects one. A delivery at or after the deadline has no value.
      *
-     * @param name name that clients send
-     * @param idempotency how often a request may take effect
-     * @param keyScope which routes drop a repeated key; used for {@link Idempotency#BY_KEY} only
-     * @param dedupWindowMicros how long they drop it, counted from the first attempt that may have taken
-     *         effect; 0 or more, 0 if not set, which allows no attempt after that one
-     * @param goalMicros time from acceptance within which a delivery has its full value; 0 or more
-     * @param timeLimitMicros time from acceptance to the deadline; more than {@code goalMicros}. The module
-     *         computes the instant of acceptance as the request's deadline minus this time
-     * @param value full value of a delivery, in the unit that the configuration uses; 1 if not set
-     * @param lateValueShare smallest share of {@code value} that a delivery before the deadline has, 0 to
-     *         1; 0 if not set
-     * @param orderedByKey true if requests with the same key are delivered one at a time, in order of
-     *         acceptance; a request without a key is not ordered
+     * @param name {@code name}: name that clients send
+     * @param idempotency {@code repeat}: how often a request may take effect
+     * @param keyScope {@code key-scope}: which routes drop a repeated key, all if not set; used for
+     *         {@link Idempotency#BY_KEY} only
+     * @param dedupWindowMicros {@code dedup-window-s}: how long they drop it, counted from the first
+     *         attempt that may have taken effect; 0 or more, 0 if not set, which allows no attempt after
+     *         that one
+     * @param goalMicros {@code goal-time-s}: time from acceptance within which a delivery has its full
+     *         value; 0 or more
+     * @param timeLimitMicros {@code deadline-s}: time from acceptance to the deadline; more than
+     *         {@code goalMicros}. The module computes the instant of acceptance as the request's deadline
+     *         minus this time
+     * @param value {@code worth}: full value of a delivery, in the unit that the configuration uses; 1 if
+     *         not set
+     * @param lateValueShare {@code late-worth}: smallest share of {@code value} that a delivery before the
+     *         deadline has, 0 to 1; 0 if not set
+     * @param orderedByKey {@code fifo-by-key}: true if requests with the same key are delivered one at a
+     *         time, in order of acceptance; a request without a key is not ordered
      */
     record RequestClass(String name, Idempotency idempotency, KeyScope keyScope, long dedupWindowMicros,
             long goalMicros, long timeLimitMicros, double value, double lateValueShare,
@@ -203,48 +208,53 @@
     record RequestTerms(RequestClass requestClass, int maxAttempts) { }
 
     /**
-     * A tenant on whose behalf clients send requests.
+     * A tenant on whose behalf clients send requests, set by an entry of {@code accounts} in the settings.
      *
-     * @param name name that requests refer to
-     * @param quotaPerSecond requests per second, over all relays, within the tenant's share; 0 if not set.
-     *         {@link DeliveryPolicy} does not use it
+     * @param name {@code name}: name that requests refer to
+     * @param quotaPerSecond {@code quota-rps}: requests per second, over all relays, within the tenant's
+     *         share; 0 if not set. {@link DeliveryPolicy} does not use it
      */
     record Tenant(String name, double quotaPerSecond) { }
 
     /**
-     * A kind of destination.
+     * A kind of destination, set by the values at the same position of three lists in the settings.
      *
-     * @param name name that routes refer to
-     * @param hasPerRouteLimits true if each route has its own limit, false if all routes of a destination
-     *         share one
-     * @param maxBatchSize largest number of requests in one call; 1 if not set
+     * @param name {@code kinds}: name that routes refer to
+     * @param hasPerRouteLimits {@code family-info.routes-apart}: true if each route has its own limit,
+     *         false if all routes of a destination share one
+     * @param maxBatchSize {@code family-info.batch-by-kind}: largest number of requests in one call; 1 if
+     *         not set
      */
     record DestinationKind(String name, boolean hasPerRouteLimits, int maxBatchSize) { }
 
     /**
-     * A zone that contains routes.
+     * A zone that contains routes, set by the values at the same position of two lists in the settings.
      *
-     * @param name name that routes refer to
-     * @param attemptPrice price of an attempt accepted by a route in this zone that has its own limit, in
-     *         the unit that the configuration uses; 0 if not set. {@link DeliveryPolicy} uses only its
-     *         ratio to the highest price of all zones
+     * @param name {@code zones}: name that routes refer to
+     * @param attemptPrice {@code family-info.toll}: price of an attempt accepted by a route in this zone
+     *         that has its own limit, in the unit that the configuration uses; 0 if not set.
+     *         {@link DeliveryPolicy} uses only its ratio to the highest price of all zones
      */
     record Zone(String name, double attemptPrice) { }
 
     /**
-     * Limits on what this relay may use or do.
+     * Limits on what this relay may use or do, set in {@code limits} and {@code family-info} of the
+     * settings.
      *
-     * @param callSlots largest number of calls in flight; above 0
-     * @param maxOpenRequests largest number of requests that are accepted and not ended; above 0
-     * @param maxAttempts largest number of attempts of one request, including the first; above 0
-     * @param mayCancel whether {@link Actions#cancelAttempt} may be used
-     * @param mayProbe whether {@link Actions#sendProbe} may be used
-     * @param mayNotifyPeers whether {@link Actions#sendPeerNote} may be used
-     * @param mayHedge whether a request may have a second attempt while one is in flight;
-     *         {@link DeliveryPolicy} never does this
-     * @param mayAdviseRetryDelay whether {@link Actions#rejectRequest} may carry a delay
-     * @param connectTimeoutMicros how long the relay waits for a connection to a route; 0 if not set, which
-     *         the relay treats as 1 ms
+     * @param callSlots {@code family-info.call-slots}: largest number of calls in flight; above 0
+     * @param maxOpenRequests {@code max-open}: largest number of requests that are accepted and not ended;
+     *         above 0
+     * @param maxAttempts {@code send-cap}: largest number of attempts of one request, including the first;
+     *         above 0
+     * @param mayCancel {@code may-cancel}: whether {@link Actions#cancelAttempt} may be used
+     * @param mayProbe {@code probes}: whether {@link Actions#sendProbe} may be used
+     * @param mayNotifyPeers {@code peers}: whether {@link Actions#sendPeerNote} may be used
+     * @param mayHedge {@code second-copies}: whether a request may have a second attempt while one is in
+     *         flight; {@link DeliveryPolicy} never does this
+     * @param mayAdviseRetryDelay {@code retry-after}: whether {@link Actions#rejectRequest} may carry a
+     *         delay
+     * @param connectTimeoutMicros {@code connect-timeout-s}: how long the relay waits for a connection to a
+     *         route; 0 if not set, which the relay treats as 1 ms
      */
     record Limits(int callSlots, int maxOpenRequests, int maxAttempts, boolean mayCancel, boolean mayProbe,
             boolean mayNotifyPeers, boolean mayHedge, boolean mayAdviseRetryDelay,
@@ -257,24 +267,25 @@
     }
 
     /**
-     * Figures of the service's rules, from {@code contract} in the configuration. A figure that is not set
-     * is 0 unless stated otherwise.
+     * Figures of the service's rules, set in {@code contract} of the settings. A figure that is not set is
+     * 0 unless stated otherwise.
      *
-     * @param answerSlackMicros value of {@code answer-slack-s}; the relay does not use it
-     * @param drainGraceMicros how long an attempt may still be sent to a route after the relay learned, or
-     *         is deemed to have learned, that the route is draining; 0 or more
-     * @param collapseLoadMultiple a destination collapses if it receives more calls within
-     *         {@code collapseWindowMicros} than this multiple of what it can serve in that time; above 0, 1
-     *         if not set
-     * @param collapseWindowMicros length of the window in which these calls are counted; 0 or more
-     * @param coldCapacityShare share of its usual capacity that a destination has right after it recovers
-     *         from an outage, 0 to 1; the share then grows linearly to 1
-     * @param warmUpMicros how long that growth takes; 0 or more
-     * @param maxDiscoveryIntervalMicros longest time allowed between two calls of a relay to discovery; 0
-     *         if there is no such rule
-     * @param orderPauseMicros pause after an unanswered attempt that may have taken effect, before the
-     *         first attempt of the next request with the same key in a class ordered by key; 0 or more, 0
-     *         if no pause is required
+     * @param answerSlackMicros {@code answer-slack-s}: the relay does not use it
+     * @param drainGraceMicros {@code drain-grace-s}: how long an attempt may still be sent to a route after
+     *         the relay learned, or is deemed to have learned, that the route is draining; 0 or more
+     * @param collapseLoadMultiple {@code fall-multiple}: a destination collapses if it receives more calls
+     *         within {@code collapseWindowMicros} than this multiple of what it can serve in that time;
+     *         above 0, 1 if not set
+     * @param collapseWindowMicros {@code fall-s}: length of the window in which these calls are counted; 0
+     *         or more
+     * @param coldCapacityShare {@code cold-from}: share of its usual capacity that a destination has right
+     *         after it recovers from an outage, 0 to 1; the share then grows linearly to 1
+     * @param warmUpMicros {@code warm-up-s}: how long that growth takes; 0 or more
+     * @param maxDiscoveryIntervalMicros {@code must-ask-in-s}: longest time allowed between two calls of a
+     *         relay to discovery; 0 if there is no such rule
+     * @param orderPauseMicros {@code order-pause-s}: pause after an unanswered attempt that may have taken
+     *         effect, before the first attempt of the next request with the same key in a class ordered by
+     *         key; 0 or more, 0 if no pause is required
      */
     record ServiceRules(long answerSlackMicros, long drainGraceMicros, double collapseLoadMultiple,
             long collapseWindowMicros, double coldCapacityShare, long warmUpMicros,
@@ -287,28 +298,33 @@
     }
 
     /**
-     * All settings of a module, given at its start and again by {@link SettingsChanged}.
+     * All settings of a module, given at its start and again by {@link SettingsChanged}. They come from
+     * {@code settings} in the configuration of a relay or from the simulator's {@code launch} message; here
+     * and in the records that are part of the settings, the description of a component begins with its key
+     * there. {@link JsonCodec} reads them: what is a span here is in seconds there.
      *
-     * @param seed seed for the module's random numbers
-     * @param relayIndex index of this relay in its fleet, from 0
-     * @param fleetSize number of relays in the fleet, including this one; above 0
-     * @param zone name of the zone that this relay runs in
-     * @param classes classes that clients may request; at least one
-     * @param tenants tenants that clients may name; if empty, a client may name any tenant or none
-     * @param kinds kinds of destination; routes of a kind that is not listed share one limit per
-     *         destination and get one request per call
-     * @param zones zones that contain routes
-     * @param limits limits on what this relay may use or do
-     * @param rules figures of the service's rules
-     * @param overQuotaValue factor on the value of a request beyond its tenant's quota; 1 if not set.
-     *         {@link DeliveryPolicy} does not use it
-     * @param lateValueHalves how the value of a late delivery falls, see {@link RequestClass}: by halves if
-     *         true, linearly if false
-     * @param mustSubscribe true if the module has to request changes of the route list by
-     *         {@link Actions#setRouteListSubscription}
-     * @param rateHint how exact the rates in the route list are
-     * @param crossZonePrice price of an attempt to a route in another zone, in the unit that the
-     *         configuration uses; 0 if not set. {@link DeliveryPolicy} does not use it
+     * @param seed seed for the module's random numbers; given beside the settings
+     * @param relayIndex {@code me}: index of this relay in its fleet, from 0
+     * @param fleetSize {@code fleet-size}: number of relays in the fleet, including this one; above 0
+     * @param zone {@code zone}: name of the zone that this relay runs in
+     * @param classes {@code classes}: classes that clients may request; at least one
+     * @param tenants {@code accounts}: tenants that clients may name; if empty, a client may name any
+     *         tenant or none
+     * @param kinds {@code kinds}: kinds of destination; routes of a kind that is not listed share one limit
+     *         per destination and get one request per call
+     * @param zones {@code zones}: zones that contain routes
+     * @param limits {@code limits}: limits on what this relay may use or do
+     * @param rules {@code contract}: figures of the service's rules
+     * @param overQuotaValue {@code over-share-worth}: factor on the value of a request beyond its tenant's
+     *         quota; 1 if not set. {@link DeliveryPolicy} does not use it
+     * @param lateValueHalves {@code family-info.fades}: how the value of a late delivery falls, see
+     *         {@link RequestClass}; by halves if true ({@code by_half}), else linearly
+     * @param mustSubscribe {@code registry-mode}: true ({@code subscribe}) if the module has to request
+     *         changes of the route list by {@link Actions#setRouteListSubscription}
+     * @param rateHint {@code weight-source}: how exact the rates in the route list are;
+     *         {@link RateHint#NONE} if not set
+     * @param crossZonePrice {@code fees.cross-zone}: price of an attempt to a route in another zone, in the
+     *         unit that the configuration uses; 0 if not set. {@link DeliveryPolicy} does not use it
      */
     record Settings(long seed, int relayIndex, int fleetSize, String zone, List<RequestClass> classes,
             List<Tenant> tenants, List<DestinationKind> kinds, List<Zone> zones, Limits limits,
@@ -322,7 +338,7 @@
     }
 
     /**
-     * A route as listed by discovery.
+     * A route as listed by discovery, which sets all its values.
      *
      * @param route name of the route; unique over all destinations
      * @param destination number of the destination that the route leads to
