--- a/src/main/java/drumdeal/DeliveryPolicy.java
+++ b/src/main/java/drumdeal/DeliveryPolicy.java
@@ -126,13 +126,13 @@
     }
 
     /** Takes settings whole; what requests were accepted under and what routes have shown stays. */
-    private void applySettings(Settings next) {
-        settings = next;
+    private void applySettings(Settings newSettings) {
+        settings = newSettings;
         classes.clear();
-        next.classes().forEach(type -> classes.put(type.name(), type));
-        longestTimeLimitMicros = next.classes().stream().mapToLong(RequestClass::timeLimitMicros).max().orElseThrow();
+        newSettings.classes().forEach(requestClass -> classes.put(requestClass.name(), requestClass));
+        longestTimeLimitMicros = newSettings.classes().stream().mapToLong(RequestClass::timeLimitMicros).max().orElseThrow();
         kinds.clear();
-        next.kinds().forEach(kind -> kinds.put(kind.name(), kind));
+        newSettings.kinds().forEach(kind -> kinds.put(kind.name(), kind));
         routes.values().forEach(route -> route.zoneBonus = zoneBonus(route.zone));
     }
 
@@ -212,9 +212,9 @@
         Route route = routes.get(e.route());
         if (route != null) {
             applyRetryAfter(route.group, e.retryAfterMicros());
-            boolean early = e.result() == Result.TIMEOUT && e.elapsedMicros() < trialTimeoutMicros(route);
+            boolean tooEarly = e.result() == Result.TIMEOUT && e.elapsedMicros() < trialTimeoutMicros(route);
             Call call = new Call(route, now - e.elapsedMicros(), hasPredecessorTrial(route));
-            recordResult(call, early ? Result.NOT_SENT : e.result(), e.retryAfterMicros(), e.elapsedMicros(), LimitReport.NONE);
+            recordResult(call, tooEarly ? Result.NOT_SENT : e.result(), e.retryAfterMicros(), e.elapsedMicros(), LimitReport.NONE);
         }
     }
 
@@ -252,7 +252,7 @@
             request.attempts.add(attempt);
             pauseKeyQueueIfUncertain(request, attempt.result);
         }
-        resumedRequests.add(request, e.attempts().stream().allMatch(past -> past.result() == Result.NOT_SENT));
+        resumedRequests.add(request, e.attempts().stream().allMatch(p -> p.result() == Result.NOT_SENT));
         // Guards against a list from before that lacks its destination; the next call for it may be long off.
         if (request.destination.routes.values().stream().noneMatch(route -> route.listedInService)) {
             actions.fetchRouteList();
@@ -267,10 +267,10 @@
      */
     private void callResumedRequests() {
         for (Request request : resumedRequests.untriedRequests.stream().filter(this::isNextForKey).sorted(BY_EXPIRY).toList()) {
-            List<Route> open = request.destination.routes.values().stream()
+            List<Route> callable = request.destination.routes.values().stream()
                     .filter(r -> isInService(r) && now >= resumedCallAt(request, r)).toList();
-            if (!open.isEmpty() && callsInFlight.size() < slotLimit()) {
-                Route route = drawRoute(open);
+            if (!callable.isEmpty() && callsInFlight.size() < slotLimit()) {
+                Route route = drawRoute(callable);
                 boolean cold = isCircuitTripped(route) || isInSlowStart(route.group.slowStartedAt);
                 route.group.nextResumedCallAt = cold ? now + intervalMicros(slowStartRate(route.group, now)) : now;
                 startCall(request, route, false);
@@ -284,17 +284,17 @@
 
     private long resumedCallAt(Request request, Route route) {
         // Guards against calls that hold their slots to the end while nothing answers.
-        boolean early = isCircuitTripped(route) && request.requestClass.idempotency() != Idempotency.ONCE && !exceedsSlotShare(route.group, route);
-        long last = request.deadline - (long) Math.max(RESUMED_CALL_LEAD_MICROS, RESUMED_CALL_LEAD_RATIO * expectedResponseMicros(route));
-        return Math.max(early ? now : last, Math.max(route.group.retryAfterUntil, route.group.nextResumedCallAt));
+        boolean mayCallEarly = isCircuitTripped(route) && request.requestClass.idempotency() != Idempotency.ONCE && !exceedsSlotShare(route.group, route);
+        long latest = request.deadline - (long) Math.max(RESUMED_CALL_LEAD_MICROS, RESUMED_CALL_LEAD_RATIO * expectedResponseMicros(route));
+        return Math.max(mayCallEarly ? now : latest, Math.max(route.group.retryAfterUntil, route.group.nextResumedCallAt));
     }
 
     private Request addRequest(RequestAccepted e) {
-        RequestClass type = classes.get(e.requestClassName());
-        if (type == null && e.terms() == null) {
+        RequestClass requestClass = classes.get(e.requestClassName());
+        if (requestClass == null && e.terms() == null) {
             throw new IllegalArgumentException("unknown request class " + e.requestClassName());
         }
-        RequestTerms terms = e.terms() != null ? e.terms() : new RequestTerms(type, settings.limits().maxAttempts());
+        RequestTerms terms = e.terms() != null ? e.terms() : new RequestTerms(requestClass, settings.limits().maxAttempts());
         Request request = new Request(e, terms, getOrCreateDestination(e.destination()));
         requests.put(request.id, request);
         requestsByExpiry.add(request);
@@ -325,8 +325,8 @@
 
     /** Guards against a full buffer, which would turn away worthy requests at the door unseen. */
     private void shedLeastValuable() {
-        waitingDestinations.stream().flatMap(busy -> busy.waiting.stream()).filter(r -> !r.resumedUntried && isSafeToReject(r))
-                .min(Comparator.comparingDouble(request -> valueAt(request, now))).ifPresent(this::endUndelivered);
+        waitingDestinations.stream().flatMap(destination -> destination.waiting.stream()).filter(r -> !r.resumedUntried && isSafeToReject(r))
+                .min(Comparator.comparingDouble(r -> valueAt(r, now))).ifPresent(this::endUndelivered);
     }
 
     private boolean isSafeToReject(Request request) {
@@ -351,9 +351,9 @@
 
     /** When a route of the request's destination may be free again: what the client had better wait for. */
     private long retryDelayMicros(Request request) {
-        long due = request.destination.routes.values().stream().filter(route -> route.listedInService)
+        long freeAt = request.destination.routes.values().stream().filter(route -> route.listedInService)
                 .mapToLong(this::usableOrTrialAt).min().orElse(Long.MAX_VALUE);
-        return due == Long.MAX_VALUE ? MICROS_PER_SECOND : Math.max(MICROS_PER_SECOND / 2, due - now);
+        return freeAt == Long.MAX_VALUE ? MICROS_PER_SECOND : Math.max(MICROS_PER_SECOND / 2, freeAt - now);
     }
 
     private void finish(Request request) {
@@ -371,10 +371,10 @@
             return;
         }
         requests.remove(request.id);
-        KeyQueue line = request.orderKey == null ? null : keyQueues.get(request.orderKey);
-        if (line != null) {
-            line.requests.remove(request);
-            if (line.requests.isEmpty() && line.pausedUntil <= now) {
+        KeyQueue queue = request.orderKey == null ? null : keyQueues.get(request.orderKey);
+        if (queue != null) {
+            queue.requests.remove(request);
+            if (queue.requests.isEmpty() && queue.pausedUntil <= now) {
                 keyQueues.remove(request.orderKey);
             }
         }
@@ -384,8 +384,8 @@
         if (request.orderKey == null) {
             return true;
         }
-        KeyQueue line = keyQueues.get(request.orderKey);
-        return line.requests.peek() == request && (!request.attempts.isEmpty() || line.pausedUntil <= now);
+        KeyQueue queue = keyQueues.get(request.orderKey);
+        return queue.requests.peek() == request && (!request.attempts.isEmpty() || queue.pausedUntil <= now);
     }
 
     /** Guards, in a process that ends, against leaving to the next one what it can't try in time any more. */
@@ -405,20 +405,20 @@
     }
 
     /** What a request would earn if it were delivered at a time. */
-    private double valueAt(Request request, long at) {
+    private double valueAt(Request request, long deliveredAt) {
         RequestClass type = request.requestClass;
-        long age = at - request.acceptedAt;
+        long age = deliveredAt - request.acceptedAt;
         if (age <= type.goalMicros()) {
             return type.value();
         }
-        if (at >= request.deadline) {
+        if (deliveredAt >= request.deadline) {
             return 0;
         }
-        double late = age - type.goalMicros();
-        double part = settings.lateValueHalves()
-                ? Math.max(type.lateValueShare(), Math.pow(0.5, late / Math.max(1, type.goalMicros())))
-                : 1 - (1 - type.lateValueShare()) * late / (type.timeLimitMicros() - type.goalMicros());
-        return type.value() * part;
+        double lateness = age - type.goalMicros();
+        double share = settings.lateValueHalves()
+                ? Math.max(type.lateValueShare(), Math.pow(0.5, lateness / Math.max(1, type.goalMicros())))
+                : 1 - (1 - type.lateValueShare()) * lateness / (type.timeLimitMicros() - type.goalMicros());
+        return type.value() * share;
     }
 
     private void onAttemptEnded(AttemptEnded e) {
@@ -443,9 +443,9 @@
         if (!call.resultRecorded) {
             call.resultRecorded = true;
             // Guards against blaming a route for a message that was sent shortly before its time was up.
-            boolean early = e.result() == Result.TIMEOUT && e.elapsedMicros() < trialTimeoutMicros(request, call.route);
+            boolean tooEarly = e.result() == Result.TIMEOUT && e.elapsedMicros() < trialTimeoutMicros(request, call.route);
             countLateOrLostAnswer(call, e.result(), e.elapsedMicros());
-            recordResult(call, early ? Result.NOT_SENT : e.result(), e.retryAfterMicros(), e.elapsedMicros(), e.report());
+            recordResult(call, tooEarly ? Result.NOT_SENT : e.result(), e.retryAfterMicros(), e.elapsedMicros(), e.report());
         }
         forgetIfUnlisted(call.route);
         pauseKeyQueueIfUncertain(request, e.result());
@@ -458,9 +458,9 @@
         }
     }
 
-    private void applyRetryAfter(LimitGroup group, long toldWait) {
-        if (toldWait > 0) {
-            group.retryAfterUntil = Math.max(group.retryAfterUntil, now + toldWait);
+    private void applyRetryAfter(LimitGroup group, long retryAfter) {
+        if (retryAfter > 0) {
+            group.retryAfterUntil = Math.max(group.retryAfterUntil, now + retryAfter);
         }
     }
 
@@ -490,7 +490,7 @@
     }
 
     /** Lets one call's result count for its route and its group. */
-    private void recordResult(Call call, Result result, long wait, long elapsed, LimitReport report) {
+    private void recordResult(Call call, Result result, long retryAfter, long elapsed, LimitReport report) {
         Route route = call.route;
         LimitGroup group = route.group;
         if (report.ratePerSecond() > 0) {
@@ -505,7 +505,7 @@
             case ERROR, TIMEOUT, CONNECT_FAILED, CANCELLED -> onFailed(call, 1);
             // Guards against taking connections that break for a route that fails: that one refuses new ones.
             case RESET -> onFailed(call, 0);
-            case FULL -> onRefused(call, wait);
+            case FULL -> onRefused(call, retryAfter);
             case CROWDED -> onCrowded(call);
             case NOT_SENT -> { }
         }
@@ -550,13 +550,13 @@
      */
     private void growPacingRate(LimitGroup group) {
         double span = Math.min(MAX_GROWTH_SPAN_MICROS, now - group.lastGrownAt) / (double) MICROS_PER_SECOND;
-        double told = Math.min(now - group.lastCutAt, (double) group.servedSinceCut * MAX_GROWTH_SPAN_MICROS) / MICROS_PER_SECOND;
-        double known = group.refusedPacingRate * PACING_REGAIN_SHARE;
-        if (group.pacingRate < known) {
+        double secondsSinceCut = Math.min(now - group.lastCutAt, (double) group.servedSinceCut * MAX_GROWTH_SPAN_MICROS) / MICROS_PER_SECOND;
+        double regainTarget = group.refusedPacingRate * PACING_REGAIN_SHARE;
+        if (group.pacingRate < regainTarget) {
             double factor = Math.min(1 + MAX_REGAIN_RATIO_PER_SERVED_CALL, Math.pow(1 + PACING_REGAIN_RATIO_PER_SECOND, span));
-            group.pacingRate = Math.min(known, group.pacingRate * factor);
+            group.pacingRate = Math.min(regainTarget, group.pacingRate * factor);
         } else {
-            double factor = Math.pow(1 + PACING_GROWTH_RATIO_PER_SECOND, span * (1 + told * PACING_GROWTH_GAIN_PER_SECOND));
+            double factor = Math.pow(1 + PACING_GROWTH_RATIO_PER_SECOND, span * (1 + secondsSinceCut * PACING_GROWTH_GAIN_PER_SECOND));
             group.pacingRate *= Math.min(1 + MAX_GROWTH_RATIO_PER_SERVED_CALL, factor);
         }
         group.lastGrownAt = now;
@@ -567,14 +567,14 @@
         if (circuit.state == CircuitState.CLOSED) {
             return;
         }
-        boolean older = call.sentAt < circuit.openedAt;
-        if (older && !circuit.openedBySilence) {
+        boolean sentBeforeOpening = call.sentAt < circuit.openedAt;
+        if (sentBeforeOpening && !circuit.openedBySilence) {
             return;
         }
         circuit.state = CircuitState.CLOSED;
         route.errorRate = 0;
         if (circuit == route.group.circuit) {
-            if (!older) {
+            if (!sentBeforeOpening) {
                 route.group.slowStartedAt = now;
                 route.group.nextCallAt = now + intervalMicros(slowStartRate(route.group, now));
             }
@@ -587,15 +587,15 @@
         LimitGroup group = route.group;
         route.errorRate += MOVING_AVERAGE_WEIGHT * (1 - route.errorRate);
         route.circuit.consecutiveFailures += weight;
-        boolean bad = route.circuit.consecutiveFailures >= failuresToOpen(group) || route.errorRate > UNHEALTHY_ERROR_RATIO;
-        if (bad || route.circuit.state != CircuitState.CLOSED && call.trial) {
+        boolean unhealthy = route.circuit.consecutiveFailures >= failuresToOpen(group) || route.errorRate > UNHEALTHY_ERROR_RATIO;
+        if (unhealthy || route.circuit.state != CircuitState.CLOSED && call.trial) {
             openCircuit(route.circuit, group, false, 0);
         }
         if (group.circuit != route.circuit) {
             group.circuit.consecutiveFailures += weight;
-            boolean noneLeft = group.routes.stream()
-                    .noneMatch(r -> r.listedInService && r.circuit.state == CircuitState.CLOSED);
-            if (group.circuit.consecutiveFailures >= FAILURES_TO_OPEN || noneLeft) {
+            boolean noneClosed = group.routes.stream()
+                    .noneMatch(other -> other.listedInService && other.circuit.state == CircuitState.CLOSED);
+            if (group.circuit.consecutiveFailures >= FAILURES_TO_OPEN || noneClosed) {
                 openCircuit(group.circuit, group, false, 0);
             }
         }
@@ -616,28 +616,28 @@
     }
 
     /** Guards against a shut destination, which refuses like one above its limit but returns cold. */
-    private void openIfInOutage(LimitGroup group, long wait) {
+    private void openIfInOutage(LimitGroup group, long retryAfter) {
         if (group.consecutiveRefusals++ == 0) {
             group.refusedSince = now;
         }
-        boolean shut = wait > OUTAGE_RETRY_AFTER_MICROS
+        boolean outage = retryAfter > OUTAGE_RETRY_AFTER_MICROS
                 || group.consecutiveRefusals >= FAILURES_TO_OPEN && now - group.refusedSince >= OUTAGE_REFUSAL_SPAN_MICROS;
-        if (shut || group.circuit.state != CircuitState.CLOSED) {
-            openCircuit(group.circuit, group, false, wait);
+        if (outage || group.circuit.state != CircuitState.CLOSED) {
+            openCircuit(group.circuit, group, false, retryAfter);
         }
     }
 
-    private void onRefused(Call call, long wait) {
+    private void onRefused(Call call, long retryAfter) {
         LimitGroup group = call.route.group;
-        openIfInOutage(group, wait);
+        openIfInOutage(group, retryAfter);
         if (call.sentAt >= group.lastCutAt) {
             group.refusedSinceCut++;
             if (now - group.lastCutAt >= MIN_CUT_INTERVAL_MICROS) {
                 cutPacingRate(group);
             }
         }
-        long until = Math.max(now, group.retryAfterUntil);
-        group.nextCallAt = Math.max(group.nextCallAt, until + jitter(intervalMicros(group.pacingRate)));
+        long earliest = Math.max(now, group.retryAfterUntil);
+        group.nextCallAt = Math.max(group.nextCallAt, earliest + jitter(intervalMicros(group.pacingRate)));
         reportToCoordinator(group, PeerNoteType.CALL_REFUSED);
     }
 
@@ -648,20 +648,20 @@
      */
     private void cutPacingRate(LimitGroup group) {
         double limit = fleetLimitPerSecond(group);
-        double went = Math.min(group.pacingRate, recentSendRate(group));
-        double served = group.servedSinceCut / (double) (group.servedSinceCut + group.refusedSinceCut);
-        boolean first = group.pacingRate == Double.POSITIVE_INFINITY;
-        group.pacingRate = limit > 0 && first ? Math.max(limit / settings.fleetSize(), ratePerSecond(group.servedRate) / 2)
-                : Math.max(MIN_FLEET_CALLS_PER_SECOND / settings.fleetSize(), went * Math.max(MIN_PACING_CUT_RATIO, served));
+        double rate = Math.min(group.pacingRate, recentSendRate(group));
+        double servedShare = group.servedSinceCut / (double) (group.servedSinceCut + group.refusedSinceCut);
+        boolean firstCut = group.pacingRate == Double.POSITIVE_INFINITY;
+        group.pacingRate = limit > 0 && firstCut ? Math.max(limit / settings.fleetSize(), ratePerSecond(group.servedRate) / 2)
+                : Math.max(MIN_FLEET_CALLS_PER_SECOND / settings.fleetSize(), rate * Math.max(MIN_PACING_CUT_RATIO, servedShare));
         // Guards against a row of refusals after which nothing tells any more what had been served before it.
-        group.refusedPacingRate = group.servedSinceCut > 0 ? went : Math.max(went, group.refusedPacingRate);
+        group.refusedPacingRate = group.servedSinceCut > 0 ? rate : Math.max(rate, group.refusedPacingRate);
         group.lastCutAt = now;
         group.lastGrownAt = now;
         group.servedSinceCut = 0;
         group.refusedSinceCut = 0;
     }
 
-    private void openCircuit(CircuitBreaker circuit, LimitGroup group, boolean bySilence, long wait) {
+    private void openCircuit(CircuitBreaker circuit, LimitGroup group, boolean bySilence, long retryAfter) {
         if (circuit.state == CircuitState.CLOSED) {
             circuit.openedAt = now;
             circuit.openedBySilence = bySilence;
@@ -669,14 +669,14 @@
                 if (!isInSlowStart(group.slowStartedAt)) {
                     group.usualRate = ratePerSecond(group.sentRate);
                 }
-                String why = bySilence ? ", silent" : "";
-                actions.log("out: " + group.routes.get(0).name + why + " (failures in a row " + circuit.consecutiveFailures
+                String reason = bySilence ? ", silent" : "";
+                actions.log("out: " + group.routes.get(0).name + reason + " (failures in a row " + circuit.consecutiveFailures
                         + ", refusals " + group.consecutiveRefusals + ", calls " + group.callsInFlight + ", pace "
                         + (float) group.pacingRate + ", usual rate " + (float) group.usualRate + ")");
             }
         }
         circuit.state = CircuitState.OPEN;
-        circuit.openUntil = now + Math.max(wait, trialDelayMicros(group));
+        circuit.openUntil = now + Math.max(retryAfter, trialDelayMicros(group));
     }
 
     /**
@@ -684,18 +684,18 @@
      * calls lets a cold destination bear. Harms what is parked at one that calls rarely: it waits long.
      */
     private long trialDelayMicros(LimitGroup group) {
-        long longest = settings.fleetSize() * TRIAL_SPACING_MICROS;
-        return jitter(Math.max(MIN_OPEN_MICROS, Math.min(intervalMicros(slowStartRate(group, now)), longest)));
+        long cap = settings.fleetSize() * TRIAL_SPACING_MICROS;
+        return jitter(Math.max(MIN_OPEN_MICROS, Math.min(intervalMicros(slowStartRate(group, now)), cap)));
     }
 
-    private long jitter(long pause) {
-        return (long) (pause * (1 - JITTER_RATIO / 2 + JITTER_RATIO * random.nextDouble()));
+    private long jitter(long delay) {
+        return (long) (delay * (1 - JITTER_RATIO / 2 + JITTER_RATIO * random.nextDouble()));
     }
 
     /** Who calls a destination rarely can't wait for three failures; a single error costs it a pause. */
     private int failuresToOpen(LimitGroup group) {
-        double calls = ratePerSecond(group.sentRate) * RATE_TIME_CONSTANT_MICROS / MICROS_PER_SECOND;
-        return (int) Math.max(1, Math.min(FAILURES_TO_OPEN, calls / CALLS_PER_FAILURE));
+        double recentCalls = ratePerSecond(group.sentRate) * RATE_TIME_CONSTANT_MICROS / MICROS_PER_SECOND;
+        return (int) Math.max(1, Math.min(FAILURES_TO_OPEN, recentCalls / CALLS_PER_FAILURE));
     }
 
     private void onProbeEnded(ProbeEnded e) {
@@ -710,8 +710,8 @@
 
     /** Calls a second that the group takes from all relays, as reported or listed; 0 where unknown. */
     private double fleetLimitPerSecond(LimitGroup group) {
-        double listed = group.routes.stream().filter(r -> r.listedInService).mapToDouble(r -> r.listedRatePerSecond).max().orElse(0);
-        double hint = settings.rateHint() == RateHint.ROUGH ? listed / ROUGH_RATE_DIVISOR : listed;
+        double listedRate = group.routes.stream().filter(r -> r.listedInService).mapToDouble(r -> r.listedRatePerSecond).max().orElse(0);
+        double hint = settings.rateHint() == RateHint.ROUGH ? listedRate / ROUGH_RATE_DIVISOR : listedRate;
         return group.reportedRate > 0 ? group.reportedRate : settings.rateHint() == RateHint.NONE ? 0 : hint;
     }
 
@@ -719,8 +719,8 @@
     private double ratePerSecond(DecayingRate rate) {
         // Guards against a relay just started that takes the events of its first seconds for those of ten.
         double span = rate.timeConstantMicros;
-        double seen = 1 - Math.exp(-Math.max(MIN_OBSERVED_SHARE * span, now - rate.countedSince) / span);
-        return rate.count * Math.exp((rate.updatedAt - now) / span) * MICROS_PER_SECOND / span / seen;
+        double observed = 1 - Math.exp(-Math.max(MIN_OBSERVED_SHARE * span, now - rate.countedSince) / span);
+        return rate.count * Math.exp((rate.updatedAt - now) / span) * MICROS_PER_SECOND / span / observed;
     }
 
     private void countEvent(DecayingRate rate) {
@@ -730,8 +730,8 @@
 
     /** What a relay sends; one that calls seldom goes by ten seconds: the call just refused tells little. */
     private double recentSendRate(LimitGroup group) {
-        double others = Math.max(0, 1 - 1 / Math.max(1, group.recentSentRate.count));
-        return Math.max(ratePerSecond(group.sentRate), ratePerSecond(group.recentSentRate) * others);
+        double othersShare = Math.max(0, 1 - 1 / Math.max(1, group.recentSentRate.count));
+        return Math.max(ratePerSecond(group.sentRate), ratePerSecond(group.recentSentRate) * othersShare);
     }
 
     private boolean isInSlowStart(long since) {
@@ -740,15 +740,15 @@
 
     /** How much of its usual calls a destination bears since its return: it warms up evenly. */
     private double slowStartFactor(long since) {
-        double warm = (now - since) / (double) Math.max(1, settings.rules().warmUpMicros());
-        double part = settings.rules().coldCapacityShare() * (1 - warm) + warm;
-        return SLOW_START_MARGIN_RATIO * settings.rules().collapseLoadMultiple() * part;
+        double warmShare = (now - since) / (double) Math.max(1, settings.rules().warmUpMicros());
+        double capacityShare = settings.rules().coldCapacityShare() * (1 - warmShare) + warmShare;
+        return SLOW_START_MARGIN_RATIO * settings.rules().collapseLoadMultiple() * capacityShare;
     }
 
     /** Calls a second of this relay that a group bears since its return. */
     private double slowStartRate(LimitGroup group, long since) {
-        double usual = Math.max(group.usualRate, fleetLimitPerSecond(group) / settings.fleetSize());
-        return Math.max(MIN_FLEET_SLOW_START_PER_SECOND / settings.fleetSize(), slowStartFactor(since) * usual);
+        double usualRate = Math.max(group.usualRate, fleetLimitPerSecond(group) / settings.fleetSize());
+        return Math.max(MIN_FLEET_SLOW_START_PER_SECOND / settings.fleetSize(), slowStartFactor(since) * usualRate);
     }
 
     private double effectivePacingRate(LimitGroup group) {
@@ -792,30 +792,30 @@
         if (elapsed < CANCEL_AGE_RATIO * expectedResponseMicros(call.route) || areAnswersLost() && mayRetry(call)) {
             return;
         }
-        boolean none = result == Result.TIMEOUT || result == Result.CANCELLED;
+        boolean unanswered = result == Result.TIMEOUT || result == Result.CANCELLED;
         if (result == Result.OK) {
             countEvent(lateAnswerRate);
-        } else if (none && call.route.lastAnsweredAt > call.sentAt) {
+        } else if (unanswered && call.route.lastAnsweredAt > call.sentAt) {
             countEvent(lostAnswerRate);
         }
     }
 
     private boolean areAnswersLost() {
-        double lost = ratePerSecond(lostAnswerRate);
-        return lost * RATE_TIME_CONSTANT_MICROS > MIN_SIGNIFICANT_LOSSES * MICROS_PER_SECOND && lost > ratePerSecond(lateAnswerRate);
+        double lostRate = ratePerSecond(lostAnswerRate);
+        return lostRate * RATE_TIME_CONSTANT_MICROS > MIN_SIGNIFICANT_LOSSES * MICROS_PER_SECOND && lostRate > ratePerSecond(lateAnswerRate);
     }
 
     /** True where a call has been out for such a part of its span and nothing has answered since. */
-    private boolean isSilent(Route route, double part) {
+    private boolean isSilent(Route route, double share) {
         Call oldest = route.callsInFlight.peek();
         return oldest != null && route.lastAnsweredAt <= oldest.sentAt
-                && now - oldest.sentAt >= part * (overdueAt(oldest) - oldest.sentAt);
+                && now - oldest.sentAt >= share * (overdueAt(oldest) - oldest.sentAt);
     }
 
     /** Guards against silence, which would cost three time-outs before the circuit opens. */
     private void openIfSilent(Route route) {
-        boolean enough = route.callsInFlight.size() >= Math.min(2, failuresToOpen(route.group));
-        if (enough && route.circuit.state == CircuitState.CLOSED && isSilent(route, 1)) {
+        boolean enoughCalls = route.callsInFlight.size() >= Math.min(2, failuresToOpen(route.group));
+        if (enoughCalls && route.circuit.state == CircuitState.CLOSED && isSilent(route, 1)) {
             openCircuit(route.circuit, route.group, true, 0);
         }
     }
@@ -832,11 +832,11 @@
 
     /** Guards against one destination, above all a slow one, that holds every slot. */
     private boolean exceedsSlotShare(LimitGroup group, Route route) {
-        int slots = settings.limits().callSlots();
+        int slotCount = settings.limits().callSlots();
         boolean slow = route.responseMicros > SLOW_RESPONSE_MICROS / 2 || isSilent(route, 0.5);
-        boolean scarce = slow || areSlotsScarce();
-        double part = scarce ? MAX_SCARCE_SLOT_SHARE : MAX_SLOT_SHARE;
-        return group.callsInFlight >= (int) Math.ceil(slots * part);
+        boolean restricted = slow || areSlotsScarce();
+        double share = restricted ? MAX_SCARCE_SLOT_SHARE : MAX_SLOT_SHARE;
+        return group.callsInFlight >= (int) Math.ceil(slotCount * share);
     }
 
     /** Guards against a drain that counts as told unheard: what has served since does not drain. */
@@ -855,20 +855,20 @@
                 && !isCircuitTripped(route) && !(route.callsInFlight.size() >= 2 && isSilent(route, 0.5)) && !exceedsSlotShare(group, route);
     }
 
-    private double score(Route route, double best) {
+    private double score(Route route, double fastest) {
         double score = 100 - route.errorRate * 50 - route.circuit.consecutiveFailures * 10;
         score -= route.errorRate > UNHEALTHY_ERROR_RATIO ? 50 : 0;
         score += expectedResponseMicros(route) < FAST_RESPONSE_MICROS ? 20 : 0;
-        score -= expectedResponseMicros(route) > Math.min(SLOW_RESPONSE_MICROS, SLOW_RESPONSE_RATIO * Math.max(INITIAL_RESPONSE_MICROS, best)) ? 30 : 0;
+        score -= expectedResponseMicros(route) > Math.min(SLOW_RESPONSE_MICROS, SLOW_RESPONSE_RATIO * Math.max(INITIAL_RESPONSE_MICROS, fastest)) ? 30 : 0;
         return Math.max(0, score + route.zoneBonus);
     }
 
     private double zoneBonus(String zone) {
-        double dearest = settings.zones().stream().mapToDouble(Zone::attemptPrice).max().orElse(0);
-        if (dearest > 0) {
-            double toll = settings.zones().stream().filter(z -> z.name().equals(zone))
-                    .mapToDouble(Zone::attemptPrice).findFirst().orElse(dearest);
-            return MAX_ZONE_BONUS * (1 - toll / dearest);
+        double highestPrice = settings.zones().stream().mapToDouble(Zone::attemptPrice).max().orElse(0);
+        if (highestPrice > 0) {
+            double price = settings.zones().stream().filter(z -> z.name().equals(zone))
+                    .mapToDouble(Zone::attemptPrice).findFirst().orElse(highestPrice);
+            return MAX_ZONE_BONUS * (1 - price / highestPrice);
         }
         return zone.equals(settings.zone()) ? MAX_ZONE_BONUS : 0;
     }
@@ -894,30 +894,30 @@
     }
 
     private Route pickRoute(Request request, List<Route> usable) {
-        List<Route> open = new ArrayList<>(usable.stream().filter(r -> isAllowedByRepeatRules(request, r)).toList());
-        if (open.size() > 1) {
-            open.remove(request.lastRoute());
+        List<Route> allowed = new ArrayList<>(usable.stream().filter(r -> isAllowedByRepeatRules(request, r)).toList());
+        if (allowed.size() > 1) {
+            allowed.remove(request.lastRoute());
         }
-        return drawRoute(open);
+        return drawRoute(allowed);
     }
 
-    private Route drawRoute(List<Route> open) {
-        double best = open.stream().mapToDouble(this::expectedResponseMicros).min().orElse(0);
-        double[] scores = open.stream().mapToDouble(route -> score(route, best)).toArray();
-        double top = Arrays.stream(scores).max().orElse(0);
+    private Route drawRoute(List<Route> candidates) {
+        double fastest = candidates.stream().mapToDouble(this::expectedResponseMicros).min().orElse(0);
+        double[] scores = candidates.stream().mapToDouble(route -> score(route, fastest)).toArray();
+        double highest = Arrays.stream(scores).max().orElse(0);
         double sum = 0;
         for (int i = 0; i < scores.length; i++) {
-            scores[i] = scores[i] < top - MAX_SCORE_GAP ? 0 : scores[i] + 1;
+            scores[i] = scores[i] < highest - MAX_SCORE_GAP ? 0 : scores[i] + 1;
             // Guards against slots held by far routes, while near ones serve several calls in the same time.
-            scores[i] /= areSlotsScarce() ? expectedResponseMicros(open.get(i)) : 1;
+            scores[i] /= areSlotsScarce() ? expectedResponseMicros(candidates.get(i)) : 1;
             sum += scores[i];
         }
-        double at = random.nextDouble() * sum;
+        double point = random.nextDouble() * sum;
         int i = 0;
-        while (i < scores.length - 1 && at >= scores[i]) {
-            at -= scores[i++];
+        while (i < scores.length - 1 && point >= scores[i]) {
+            point -= scores[i++];
         }
-        return open.get(i);
+        return candidates.get(i);
     }
 
     private record Candidate(Request request, Route route, double lossFromWaiting) { }
@@ -969,19 +969,19 @@
             return;
         }
         Request best = null;
-        double most = -1;
+        double highestLoss = -1;
         for (Request request : destination.waiting) {
             // What a restart has found goes first, by its end: it is owed a try, and older than the rest.
             double loss = request.resumedUntried ? Double.MAX_VALUE : lossFromWaiting(request, usable.get(0));
-            boolean earlier = best != null && loss == most && request.deadline < best.deadline;
-            if ((loss > most || earlier) && isNextForKey(request) && canBeAnsweredInTime(request, usable.get(0))
+            boolean earlier = best != null && loss == highestLoss && request.deadline < best.deadline;
+            if ((loss > highestLoss || earlier) && isNextForKey(request) && canBeAnsweredInTime(request, usable.get(0))
                     && usable.stream().anyMatch(route -> isAllowedByRepeatRules(request, route))) {
                 best = request;
-                most = loss;
+                highestLoss = loss;
             }
         }
         if (best != null) {
-            candidates.add(new Candidate(best, pickRoute(best, usable), most));
+            candidates.add(new Candidate(best, pickRoute(best, usable), highestLoss));
         }
     }
 
@@ -990,12 +990,12 @@
      * lost: saving the oldest each time would deliver all of them late.
      */
     private double lossFromWaiting(Request request, Route route) {
-        long arrival = now + (long) expectedResponseMicros(route);
+        long answeredAt = now + (long) expectedResponseMicros(route);
         Destination destination = request.destination;
-        double lost = ratePerSecond(destination.expiredRate);
-        boolean overloaded = lost > OVERLOAD_EXPIRED_SHARE * ratePerSecond(destination.acceptedRate)
-                && lost * RATE_TIME_CONSTANT_MICROS > MIN_SIGNIFICANT_LOSSES * MICROS_PER_SECOND;
-        return valueAt(request, arrival) - (overloaded ? 0 : valueAt(request, arrival + WAITING_HORIZON_MICROS));
+        double expiredRate = ratePerSecond(destination.expiredRate);
+        boolean overloaded = expiredRate > OVERLOAD_EXPIRED_SHARE * ratePerSecond(destination.acceptedRate)
+                && expiredRate * RATE_TIME_CONSTANT_MICROS > MIN_SIGNIFICANT_LOSSES * MICROS_PER_SECOND;
+        return valueAt(request, answeredAt) - (overloaded ? 0 : valueAt(request, answeredAt + WAITING_HORIZON_MICROS));
     }
 
     /** Guards against calls that can't be answered in time any more. */
@@ -1014,64 +1014,64 @@
      * or to find an outage: trouble is told to the group's keeper, which all know by the group's number and
      * which gives turns one at a time. A lost note, or a dead keeper, costs {@link #TOKEN_TIMEOUT_MICROS}.
      */
-    private void reportToCoordinator(LimitGroup group, PeerNoteType word) {
+    private void reportToCoordinator(LimitGroup group, PeerNoteType type) {
         if (!settings.limits().mayNotifyPeers()) {
             return;
         }
-        if (word != PeerNoteType.CALL_SERVED) {
+        if (type != PeerNoteType.CALL_SERVED) {
             group.tokenRequested = true;
             group.tokenRequestedAt = now;
         }
-        sendPeerNote(Math.floorMod(group.number, settings.fleetSize()), word, group.number);
+        sendPeerNote(Math.floorMod(group.number, settings.fleetSize()), type, group.number);
     }
 
-    private void sendPeerNote(int relay, PeerNoteType word, int number) {
+    private void sendPeerNote(int relay, PeerNoteType type, int groupNumber) {
         if (relay == settings.relayIndex()) {
-            onPeerNote(relay, word, number);
+            onPeerNote(relay, type, groupNumber);
         } else {
             ByteBuffer note = ByteBuffer.allocate(Integer.BYTES + 1);
-            actions.sendPeerNote(relay, note.put((byte) word.ordinal()).putInt(number).array());
+            actions.sendPeerNote(relay, note.put((byte) type.ordinal()).putInt(groupNumber).array());
         }
     }
 
-    private void onPeerNote(int from, PeerNoteType word, int number) {
-        LimitGroup group = groups.get(number);
+    private void onPeerNote(int fromRelay, PeerNoteType type, int groupNumber) {
+        LimitGroup group = groups.get(groupNumber);
         if (group == null) {
             return;
         }
-        switch (word) {
-            case TOKEN_GRANT, TRIAL_GRANT -> onTokenGranted(group, word == PeerNoteType.TRIAL_GRANT);
+        switch (type) {
+            case TOKEN_GRANT, TRIAL_GRANT -> onTokenGranted(group, type == PeerNoteType.TRIAL_GRANT);
             case COORDINATION_START -> group.coordinatedUntil = now + COORDINATION_MICROS;
-            case TOKEN_REQUEST, CALL_REFUSED, CALL_FAILED, CALL_SERVED -> coordinate(group, from, word);
+            case TOKEN_REQUEST, CALL_REFUSED, CALL_FAILED, CALL_SERVED -> coordinate(group, fromRelay, type);
             case UNKNOWN -> { }
         }
     }
 
-    private void onTokenGranted(LimitGroup group, boolean test) {
+    private void onTokenGranted(LimitGroup group, boolean trial) {
         group.tokenRequested = false;
-        group.reportsTrialResult = test;
+        group.reportsTrialResult = trial;
         group.nextCallAt = now;
         group.tokenValidUntil = now + MICROS_PER_SECOND;
         group.circuit.openUntil = now;
         group.routes.forEach(route -> route.circuit.openUntil = now);
     }
 
-    private void coordinate(LimitGroup group, int from, PeerNoteType word) {
-        TokenCoordinator keeper = group.coordinator;
-        if (word == PeerNoteType.CALL_SERVED) {
-            keeper.recoveredAt = keeper.failures >= FAILURES_TO_OPEN ? now : keeper.recoveredAt;
-            keeper.failures = 0;
+    private void coordinate(LimitGroup group, int fromRelay, PeerNoteType type) {
+        TokenCoordinator coordinator = group.coordinator;
+        if (type == PeerNoteType.CALL_SERVED) {
+            coordinator.recoveredAt = coordinator.failures >= FAILURES_TO_OPEN ? now : coordinator.recoveredAt;
+            coordinator.failures = 0;
             return;
         }
-        keeper.failures += word == PeerNoteType.CALL_FAILED ? 1 : 0;
-        if (word == PeerNoteType.CALL_REFUSED && now - keeper.lastCutAt >= MIN_CUT_INTERVAL_MICROS) {
-            keeper.limitFactor *= COORDINATOR_CUT_RATIO;
-            keeper.lastCutAt = now;
+        coordinator.failures += type == PeerNoteType.CALL_FAILED ? 1 : 0;
+        if (type == PeerNoteType.CALL_REFUSED && now - coordinator.lastCutAt >= MIN_CUT_INTERVAL_MICROS) {
+            coordinator.limitFactor *= COORDINATOR_CUT_RATIO;
+            coordinator.lastCutAt = now;
         }
-        keeper.waitingRelays.add(from);
+        coordinator.waitingRelays.add(fromRelay);
         coordinatedGroups.add(group);
-        if (now - keeper.announcedAt > COORDINATION_MICROS - MICROS_PER_SECOND && (word != PeerNoteType.TOKEN_REQUEST || keeper.waitingRelays.size() > 1)) {
-            keeper.announcedAt = now;
+        if (now - coordinator.announcedAt > COORDINATION_MICROS - MICROS_PER_SECOND && (type != PeerNoteType.TOKEN_REQUEST || coordinator.waitingRelays.size() > 1)) {
+            coordinator.announcedAt = now;
             group.coordinatedUntil = now + COORDINATION_MICROS;
             sendPeerNote(-1, PeerNoteType.COORDINATION_START, group.number);
         }
@@ -1079,23 +1079,23 @@
 
     /** Gives the turns that are due: tests while a destination fails, then as many as it bears. */
     private void grantTokens(LimitGroup group) {
-        TokenCoordinator keeper = group.coordinator;
-        while (!keeper.waitingRelays.isEmpty() && now >= keeper.nextTokenAt) {
-            int relay = keeper.waitingRelays.iterator().next();
-            keeper.waitingRelays.remove(relay);
-            boolean down = keeper.failures >= FAILURES_TO_OPEN;
-            keeper.nextTokenAt = Math.max(keeper.nextTokenAt, now - MICROS_PER_SECOND / 2)
-                    + (down ? TRIAL_SPACING_MICROS : intervalMicros(tokenRatePerSecond(group, keeper)));
+        TokenCoordinator coordinator = group.coordinator;
+        while (!coordinator.waitingRelays.isEmpty() && now >= coordinator.nextTokenAt) {
+            int relay = coordinator.waitingRelays.iterator().next();
+            coordinator.waitingRelays.remove(relay);
+            boolean down = coordinator.failures >= FAILURES_TO_OPEN;
+            coordinator.nextTokenAt = Math.max(coordinator.nextTokenAt, now - MICROS_PER_SECOND / 2)
+                    + (down ? TRIAL_SPACING_MICROS : intervalMicros(tokenRatePerSecond(group, coordinator)));
             sendPeerNote(relay, down ? PeerNoteType.TRIAL_GRANT : PeerNoteType.TOKEN_GRANT, group.number);
         }
     }
 
-    private double tokenRatePerSecond(LimitGroup group, TokenCoordinator keeper) {
+    private double tokenRatePerSecond(LimitGroup group, TokenCoordinator coordinator) {
         double limit = fleetLimitPerSecond(group) == 0 ? MIN_FLEET_CALLS_PER_SECOND : fleetLimitPerSecond(group);
-        keeper.limitFactor = Math.min(MAX_LIMIT_RATIO, keeper.limitFactor * growthFactor(keeper.lastGrownAt));
-        keeper.lastGrownAt = now;
-        boolean warm = !isInSlowStart(keeper.recoveredAt);
-        return limit * (warm ? keeper.limitFactor : Math.min(keeper.limitFactor, slowStartFactor(keeper.recoveredAt)));
+        coordinator.limitFactor = Math.min(MAX_LIMIT_RATIO, coordinator.limitFactor * growthFactor(coordinator.lastGrownAt));
+        coordinator.lastGrownAt = now;
+        boolean warm = !isInSlowStart(coordinator.recoveredAt);
+        return limit * (warm ? coordinator.limitFactor : Math.min(coordinator.limitFactor, slowStartFactor(coordinator.recoveredAt)));
     }
 
     private boolean isAwaitingToken(LimitGroup group) {
@@ -1120,12 +1120,12 @@
 
     private void sendDueTrials(Destination destination) {
         for (Route route : destination.routes.values()) {
-            boolean whole = route.group.circuit.state != CircuitState.CLOSED;
-            CircuitBreaker circuit = whole ? route.group.circuit : route.circuit;
+            boolean groupTripped = route.group.circuit.state != CircuitState.CLOSED;
+            CircuitBreaker circuit = groupTripped ? route.group.circuit : route.circuit;
             // Guards against a group that is tested again and again by its one dead route.
-            boolean better = whole && route.group.routes.stream()
+            boolean hasBetter = groupTripped && route.group.routes.stream()
                     .anyMatch(other -> other.listedInService && other.circuit.consecutiveFailures < route.circuit.consecutiveFailures);
-            if (isInService(route) && !better && isReadyForTrial(circuit) && now >= route.group.retryAfterUntil
+            if (isInService(route) && !hasBetter && isReadyForTrial(circuit) && now >= route.group.retryAfterUntil
                     && callsInFlight.size() < slotLimit()) {
                 sendTrial(destination, route, circuit);
             }
@@ -1156,8 +1156,8 @@
         return cost + (firstPossiblyExecutedAttempt(request) == null ? 0 : 50);
     }
 
-    private void startCall(Request request, Route route, boolean test) {
-        Call call = new Call(route, now, test);
+    private void startCall(Request request, Route route, boolean trial) {
+        Call call = new Call(route, now, trial);
         callsInFlight.add(call);
         route.group.callsInFlight++;
         route.callsInFlight.add(call);
@@ -1167,10 +1167,10 @@
         route.group.nextCallAt = Math.max(route.group.nextCallAt, now) + intervalMicros(effectivePacingRate(route.group));
         addToCall(request, call);
         DestinationKind kind = kinds.get(route.kind);
-        int room = test || kind == null ? 0 : kind.maxBatchSize() - 1;
-        if (room > 0) {
+        int maxAdded = trial || kind == null ? 0 : kind.maxBatchSize() - 1;
+        if (maxAdded > 0) {
             for (Request other : List.copyOf(request.destination.waiting)) {
-                if (call.pendingAttempts <= room && isNextForKey(other) && isAllowedByRepeatRules(other, route)) {
+                if (call.pendingAttempts <= maxAdded && isNextForKey(other) && isAllowedByRepeatRules(other, route)) {
                     addToCall(other, call);
                 }
             }
@@ -1180,27 +1180,27 @@
     private void addToCall(Request request, Call call) {
         dequeue(request);
         Optional.ofNullable(resumedRequests.recordTriedOrEnded(request, true)).ifPresent(actions::log);
-        long until = Math.min(repeatableUntil(request), inServiceUntil(call.route));
+        long startUntil = Math.min(repeatableUntil(request), inServiceUntil(call.route));
         request.attempts.add(new Attempt(call));
         request.attemptsInFlight++;
         call.pendingAttempts++;
         call.requests.add(request);
-        actions.startAttempt(request.id, call.route.name, attemptTimeoutMicros(request, call), until);
+        actions.startAttempt(request.id, call.route.name, attemptTimeoutMicros(request, call), startUntil);
     }
 
     private long attemptTimeoutMicros(Request request, Call call) {
-        boolean last = request.requestClass.idempotency() == Idempotency.ONCE || request.attempts.size() >= request.maxAttempts;
-        if (last) {
+        boolean lastAttempt = request.requestClass.idempotency() == Idempotency.ONCE || request.attempts.size() >= request.maxAttempts;
+        if (lastAttempt) {
             return 0;
         }
-        double usual = Math.max(MIN_TIMEOUT_MICROS, OVERDUE_RATIO * expectedResponseMicros(call.route));
+        double timeout = Math.max(MIN_TIMEOUT_MICROS, OVERDUE_RATIO * expectedResponseMicros(call.route));
         return call.trial || isCircuitTripped(call.route) ? trialTimeoutMicros(call.route)
-                : (long) Math.min(usual, MAX_TIMEOUT_SHARE * request.requestClass.timeLimitMicros());
+                : (long) Math.min(timeout, MAX_TIMEOUT_SHARE * request.requestClass.timeLimitMicros());
     }
 
     /** Guards against spans that no message has: no circuit would open by silence, nor close by a test. */
-    private long capTimeoutMicros(double span) {
-        return (long) Math.min(span, MAX_TIMEOUT_SHARE * longestTimeLimitMicros);
+    private long capTimeoutMicros(double timeout) {
+        return (long) Math.min(timeout, MAX_TIMEOUT_SHARE * longestTimeLimitMicros);
     }
 
     /** Guards against a destination that gets only brief messages of a mixed lot: none opens or tests it. */
@@ -1253,10 +1253,10 @@
     private Route newRoute(ListedRoute entry) {
         Destination destination = getOrCreateDestination(entry.destination());
         DestinationKind kind = kinds.get(entry.kind());
-        boolean apart = kind != null && kind.hasPerRouteLimits();
-        int number = apart ? entry.route().hashCode() : entry.destination();
-        LimitGroup group = groups.computeIfAbsent(number, n -> new LimitGroup(n, now));
-        Route route = new Route(entry, destination, group, apart);
+        boolean ownLimit = kind != null && kind.hasPerRouteLimits();
+        int groupNumber = ownLimit ? entry.route().hashCode() : entry.destination();
+        LimitGroup group = groups.computeIfAbsent(groupNumber, n -> new LimitGroup(n, now));
+        Route route = new Route(entry, destination, group, ownLimit);
         route.zoneBonus = zoneBonus(route.zone);
         group.routes.add(route);
         destination.routes.put(route.name, route);
@@ -1270,37 +1270,37 @@
         }
     }
 
-    private void onTimerFired(long name) {
-        if (name == WAKE_UP_TIMER) {
+    private void onTimerFired(long timer) {
+        if (timer == WAKE_UP_TIMER) {
             wakeUpAt = now >= wakeUpAt ? Long.MAX_VALUE : wakeUpAt;
-            keyQueues.values().removeIf(line -> line.requests.isEmpty() && line.pausedUntil <= now);
-        } else if (name == SUBSCRIBE_TIMER) {
+            keyQueues.values().removeIf(queue -> queue.requests.isEmpty() && queue.pausedUntil <= now);
+        } else if (timer == SUBSCRIBE_TIMER) {
             subscriptionRequested = !settings.mustSubscribe();
             subscribeIfRequired();
         }
     }
 
     private void scheduleWakeUp() {
-        long wake = requestsByExpiry.isEmpty() ? Long.MAX_VALUE : requestsByExpiry.first().expiresAt;
+        long nextDue = requestsByExpiry.isEmpty() ? Long.MAX_VALUE : requestsByExpiry.first().expiresAt;
         for (Request request : resumedRequests.untriedRequests) {
             for (Route route : request.destination.routes.values()) {
-                long at = resumedCallAt(request, route);
-                wake = at > now ? Math.min(wake, at) : wake;
+                long callAt = resumedCallAt(request, route);
+                nextDue = callAt > now ? Math.min(nextDue, callAt) : nextDue;
             }
         }
-        wake = Math.min(wake, coordinatedGroups.stream().mapToLong(group -> group.coordinator.nextTokenAt).min().orElse(wake));
+        nextDue = Math.min(nextDue, coordinatedGroups.stream().mapToLong(group -> group.coordinator.nextTokenAt).min().orElse(nextDue));
         for (Destination destination : waitingDestinations) {
             for (Route route : destination.routes.values()) {
-                wake = Math.min(wake, route.listedInService ? usableOrTrialAt(route) : Long.MAX_VALUE);
+                nextDue = Math.min(nextDue, route.listedInService ? usableOrTrialAt(route) : Long.MAX_VALUE);
             }
         }
         for (Call call : waitingDestinations.isEmpty() ? List.<Call>of() : callsInFlight) {
-            for (long due : new long[] {cancellableAt(call), overdueAt(call)}) {
-                wake = due > now ? Math.min(wake, due) : wake;
+            for (long dueAt : new long[] {cancellableAt(call), overdueAt(call)}) {
+                nextDue = dueAt > now ? Math.min(nextDue, dueAt) : nextDue;
             }
         }
-        if (wake < wakeUpAt) {
-            wakeUpAt = Math.max(wake, now + 1);
+        if (nextDue < wakeUpAt) {
+            wakeUpAt = Math.max(nextDue, now + 1);
             actions.setTimer(WAKE_UP_TIMER, wakeUpAt - now);
         }
     }
@@ -1308,14 +1308,14 @@
     /** When the route may be used or tested next, if only time stands in the way. */
     private long usableOrTrialAt(Route route) {
         LimitGroup group = route.group;
-        long guarded = Math.min(group.coordinatedUntil, group.tokenRequested ? group.tokenRequestedAt + TOKEN_TIMEOUT_MICROS : Long.MAX_VALUE);
-        long at = Math.max(Math.max(group.nextCallAt, group.retryAfterUntil), Math.max(guarded, route.connectionBackoffUntil));
+        long tokenWaitUntil = Math.min(group.coordinatedUntil, group.tokenRequested ? group.tokenRequestedAt + TOKEN_TIMEOUT_MICROS : Long.MAX_VALUE);
+        long usableAt = Math.max(Math.max(group.nextCallAt, group.retryAfterUntil), Math.max(tokenWaitUntil, route.connectionBackoffUntil));
         if (route.circuit.state == CircuitState.OPEN) {
-            at = Math.max(group.retryAfterUntil, route.circuit.openUntil);
+            usableAt = Math.max(group.retryAfterUntil, route.circuit.openUntil);
         }
         if (group.circuit.state == CircuitState.OPEN) {
-            at = Math.max(group.retryAfterUntil, group.circuit.openUntil);
+            usableAt = Math.max(group.retryAfterUntil, group.circuit.openUntil);
         }
-        return at > now ? at : Long.MAX_VALUE;
+        return usableAt > now ? usableAt : Long.MAX_VALUE;
     }
 }
