--- a/src/main/java/drumdeal/DeliveryPolicy.java
+++ b/src/main/java/drumdeal/DeliveryPolicy.java
@@ -130,7 +130,8 @@
         settings = newSettings;
         classes.clear();
         newSettings.classes().forEach(requestClass -> classes.put(requestClass.name(), requestClass));
-        longestTimeLimitMicros = newSettings.classes().stream().mapToLong(RequestClass::timeLimitMicros).max().orElseThrow();
+        longestTimeLimitMicros =
+                newSettings.classes().stream().mapToLong(RequestClass::timeLimitMicros).max().orElseThrow();
         kinds.clear();
         newSettings.kinds().forEach(kind -> kinds.put(kind.name(), kind));
         routes.values().forEach(route -> route.zoneBonus = zoneBonus(route.zone));
@@ -156,13 +157,15 @@
     /** What drains, has an open circuit or told to wait; not what only waits for its pace or a slot. */
     @Override
     public int countUnavailableRoutes(long now) {
-        return (int) routes.values().stream().filter(route -> route.inRouteList)
-                .filter(route -> !route.listedInService || now < route.group.retryAfterUntil || isCircuitTripped(route)).count();
+        return (int) routes.values().stream().filter(r -> r.inRouteList)
+                .filter(r -> !r.listedInService || now < r.group.retryAfterUntil || isCircuitTripped(r))
+                .count();
     }
 
     /** Guards against a fleet whose every guard costs every relay a round's work: it lets nothing new go. */
     private static boolean isCoordinationStart(Event event) {
-        return event instanceof PeerNote e && e.payload().length > 0 && PeerNoteType.fromOrdinal(e.payload()[0]) == PeerNoteType.COORDINATION_START;
+        return event instanceof PeerNote e && e.payload().length > 0
+                && PeerNoteType.fromOrdinal(e.payload()[0]) == PeerNoteType.COORDINATION_START;
     }
 
     private void handle(Event event) {
@@ -214,7 +217,8 @@
             applyRetryAfter(route.group, e.retryAfterMicros());
             boolean tooEarly = e.result() == Result.TIMEOUT && e.elapsedMicros() < trialTimeoutMicros(route);
             Call call = new Call(route, now - e.elapsedMicros(), hasPredecessorTrial(route));
-            recordResult(call, tooEarly ? Result.NOT_SENT : e.result(), e.retryAfterMicros(), e.elapsedMicros(), LimitReport.NONE);
+            recordResult(call, tooEarly ? Result.NOT_SENT : e.result(), e.retryAfterMicros(),
+                    e.elapsedMicros(), LimitReport.NONE);
         }
     }
 
@@ -266,13 +270,15 @@
      * as a cold destination bears it: a fleet that owes much there would push it over at the end.
      */
     private void callResumedRequests() {
-        for (Request request : resumedRequests.untriedRequests.stream().filter(this::isNextForKey).sorted(BY_EXPIRY).toList()) {
+        for (Request request : resumedRequests.untriedRequests.stream().filter(this::isNextForKey)
+                .sorted(BY_EXPIRY).toList()) {
             List<Route> callable = request.destination.routes.values().stream()
                     .filter(r -> isInService(r) && now >= resumedCallAt(request, r)).toList();
             if (!callable.isEmpty() && callsInFlight.size() < slotLimit()) {
                 Route route = drawRoute(callable);
                 boolean cold = isCircuitTripped(route) || isInSlowStart(route.group.slowStartedAt);
-                route.group.nextResumedCallAt = cold ? now + intervalMicros(slowStartRate(route.group, now)) : now;
+                route.group.nextResumedCallAt =
+                        cold ? now + intervalMicros(slowStartRate(route.group, now)) : now;
                 startCall(request, route, false);
             }
         }
@@ -284,9 +290,12 @@
 
     private long resumedCallAt(Request request, Route route) {
         // Guards against calls that hold their slots to the end while nothing answers.
-        boolean mayCallEarly = isCircuitTripped(route) && request.requestClass.idempotency() != Idempotency.ONCE && !exceedsSlotShare(route.group, route);
-        long latest = request.deadline - (long) Math.max(RESUMED_CALL_LEAD_MICROS, RESUMED_CALL_LEAD_RATIO * expectedResponseMicros(route));
-        return Math.max(mayCallEarly ? now : latest, Math.max(route.group.retryAfterUntil, route.group.nextResumedCallAt));
+        boolean callEarly = isCircuitTripped(route) && request.requestClass.idempotency() != Idempotency.ONCE
+                && !exceedsSlotShare(route.group, route);
+        long latest = request.deadline - (long) Math.max(RESUMED_CALL_LEAD_MICROS,
+                RESUMED_CALL_LEAD_RATIO * expectedResponseMicros(route));
+        return Math.max(callEarly ? now : latest,
+                Math.max(route.group.retryAfterUntil, route.group.nextResumedCallAt));
     }
 
     private Request addRequest(RequestAccepted e) {
@@ -294,7 +303,8 @@
         if (requestClass == null && e.terms() == null) {
             throw new IllegalArgumentException("unknown request class " + e.requestClassName());
         }
-        RequestTerms terms = e.terms() != null ? e.terms() : new RequestTerms(requestClass, settings.limits().maxAttempts());
+        RequestTerms terms = e.terms() != null ? e.terms()
+                : new RequestTerms(requestClass, settings.limits().maxAttempts());
         Request request = new Request(e, terms, getOrCreateDestination(e.destination()));
         requests.put(request.id, request);
         requestsByExpiry.add(request);
@@ -325,7 +335,8 @@
 
     /** Guards against a full buffer, which would turn away worthy requests at the door unseen. */
     private void shedLeastValuable() {
-        waitingDestinations.stream().flatMap(destination -> destination.waiting.stream()).filter(r -> !r.resumedUntried && isSafeToReject(r))
+        waitingDestinations.stream().flatMap(destination -> destination.waiting.stream())
+                .filter(r -> !r.resumedUntried && isSafeToReject(r))
                 .min(Comparator.comparingDouble(r -> valueAt(r, now))).ifPresent(this::endUndelivered);
     }
 
@@ -342,7 +353,8 @@
     /** Ends a request that has no attempt out, undelivered. */
     private void endUndelivered(Request request) {
         if (isSafeToReject(request)) {
-            actions.rejectRequest(request.id, settings.limits().mayAdviseRetryDelay() ? retryDelayMicros(request) : 0);
+            actions.rejectRequest(request.id,
+                    settings.limits().mayAdviseRetryDelay() ? retryDelayMicros(request) : 0);
         } else {
             actions.failRequest(request.id);
         }
@@ -443,9 +455,11 @@
         if (!call.resultRecorded) {
             call.resultRecorded = true;
             // Guards against blaming a route for a message that was sent shortly before its time was up.
-            boolean tooEarly = e.result() == Result.TIMEOUT && e.elapsedMicros() < trialTimeoutMicros(request, call.route);
+            boolean tooEarly = e.result() == Result.TIMEOUT
+                    && e.elapsedMicros() < trialTimeoutMicros(request, call.route);
             countLateOrLostAnswer(call, e.result(), e.elapsedMicros());
-            recordResult(call, tooEarly ? Result.NOT_SENT : e.result(), e.retryAfterMicros(), e.elapsedMicros(), e.report());
+            recordResult(call, tooEarly ? Result.NOT_SENT : e.result(), e.retryAfterMicros(),
+                    e.elapsedMicros(), e.report());
         }
         forgetIfUnlisted(call.route);
         pauseKeyQueueIfUncertain(request, e.result());
@@ -540,7 +554,8 @@
 
     /** Regrowth since a time, for a span that the serves seen speak for. */
     private double growthFactor(long since) {
-        return Math.pow(1 + PACING_GROWTH_RATIO_PER_SECOND, Math.min(MAX_GROWTH_SPAN_MICROS, now - since) / (double) MICROS_PER_SECOND);
+        return Math.pow(1 + PACING_GROWTH_RATIO_PER_SECOND,
+                Math.min(MAX_GROWTH_SPAN_MICROS, now - since) / (double) MICROS_PER_SECOND);
     }
 
     /**
@@ -550,13 +565,16 @@
      */
     private void growPacingRate(LimitGroup group) {
         double span = Math.min(MAX_GROWTH_SPAN_MICROS, now - group.lastGrownAt) / (double) MICROS_PER_SECOND;
-        double secondsSinceCut = Math.min(now - group.lastCutAt, (double) group.servedSinceCut * MAX_GROWTH_SPAN_MICROS) / MICROS_PER_SECOND;
+        double secondsSinceCut = Math.min(now - group.lastCutAt,
+                (double) group.servedSinceCut * MAX_GROWTH_SPAN_MICROS) / MICROS_PER_SECOND;
         double regainTarget = group.refusedPacingRate * PACING_REGAIN_SHARE;
         if (group.pacingRate < regainTarget) {
-            double factor = Math.min(1 + MAX_REGAIN_RATIO_PER_SERVED_CALL, Math.pow(1 + PACING_REGAIN_RATIO_PER_SECOND, span));
+            double factor = Math.min(1 + MAX_REGAIN_RATIO_PER_SERVED_CALL,
+                    Math.pow(1 + PACING_REGAIN_RATIO_PER_SECOND, span));
             group.pacingRate = Math.min(regainTarget, group.pacingRate * factor);
         } else {
-            double factor = Math.pow(1 + PACING_GROWTH_RATIO_PER_SECOND, span * (1 + secondsSinceCut * PACING_GROWTH_GAIN_PER_SECOND));
+            double factor = Math.pow(1 + PACING_GROWTH_RATIO_PER_SECOND,
+                    span * (1 + secondsSinceCut * PACING_GROWTH_GAIN_PER_SECOND));
             group.pacingRate *= Math.min(1 + MAX_GROWTH_RATIO_PER_SERVED_CALL, factor);
         }
         group.lastGrownAt = now;
@@ -587,7 +605,8 @@
         LimitGroup group = route.group;
         route.errorRate += MOVING_AVERAGE_WEIGHT * (1 - route.errorRate);
         route.circuit.consecutiveFailures += weight;
-        boolean unhealthy = route.circuit.consecutiveFailures >= failuresToOpen(group) || route.errorRate > UNHEALTHY_ERROR_RATIO;
+        boolean unhealthy = route.circuit.consecutiveFailures >= failuresToOpen(group)
+                || route.errorRate > UNHEALTHY_ERROR_RATIO;
         if (unhealthy || route.circuit.state != CircuitState.CLOSED && call.trial) {
             openCircuit(route.circuit, group, false, 0);
         }
@@ -612,7 +631,8 @@
     private void onCrowded(Call call) {
         Route route = call.route;
         openIfInOutage(route.group, 0);
-        route.connectionBackoffUntil = now + jitter(CONNECTION_BACKOFF_MICROS << Math.min(route.consecutiveCrowdedResults++, MAX_CONNECTION_BACKOFF_DOUBLINGS));
+        route.connectionBackoffUntil = now + jitter(CONNECTION_BACKOFF_MICROS
+                << Math.min(route.consecutiveCrowdedResults++, MAX_CONNECTION_BACKOFF_DOUBLINGS));
     }
 
     /** Guards against a shut destination, which refuses like one above its limit but returns cold. */
@@ -621,7 +641,8 @@
             group.refusedSince = now;
         }
         boolean outage = retryAfter > OUTAGE_RETRY_AFTER_MICROS
-                || group.consecutiveRefusals >= FAILURES_TO_OPEN && now - group.refusedSince >= OUTAGE_REFUSAL_SPAN_MICROS;
+                || group.consecutiveRefusals >= FAILURES_TO_OPEN
+                && now - group.refusedSince >= OUTAGE_REFUSAL_SPAN_MICROS;
         if (outage || group.circuit.state != CircuitState.CLOSED) {
             openCircuit(group.circuit, group, false, retryAfter);
         }
@@ -651,8 +672,10 @@
         double rate = Math.min(group.pacingRate, recentSendRate(group));
         double servedShare = group.servedSinceCut / (double) (group.servedSinceCut + group.refusedSinceCut);
         boolean firstCut = group.pacingRate == Double.POSITIVE_INFINITY;
-        group.pacingRate = limit > 0 && firstCut ? Math.max(limit / settings.fleetSize(), ratePerSecond(group.servedRate) / 2)
-                : Math.max(MIN_FLEET_CALLS_PER_SECOND / settings.fleetSize(), rate * Math.max(MIN_PACING_CUT_RATIO, servedShare));
+        group.pacingRate = limit > 0 && firstCut
+                ? Math.max(limit / settings.fleetSize(), ratePerSecond(group.servedRate) / 2)
+                : Math.max(MIN_FLEET_CALLS_PER_SECOND / settings.fleetSize(),
+                        rate * Math.max(MIN_PACING_CUT_RATIO, servedShare));
         // Guards against a row of refusals after which nothing tells any more what had been served before it.
         group.refusedPacingRate = group.servedSinceCut > 0 ? rate : Math.max(rate, group.refusedPacingRate);
         group.lastCutAt = now;
@@ -670,9 +693,10 @@
                     group.usualRate = ratePerSecond(group.sentRate);
                 }
                 String reason = bySilence ? ", silent" : "";
-                actions.log("out: " + group.routes.get(0).name + reason + " (failures in a row " + circuit.consecutiveFailures
-                        + ", refusals " + group.consecutiveRefusals + ", calls " + group.callsInFlight + ", pace "
-                        + (float) group.pacingRate + ", usual rate " + (float) group.usualRate + ")");
+                actions.log("out: " + group.routes.get(0).name + reason + " (failures in a row "
+                        + circuit.consecutiveFailures + ", refusals " + group.consecutiveRefusals
+                        + ", calls " + group.callsInFlight + ", pace " + (float) group.pacingRate
+                        + ", usual rate " + (float) group.usualRate + ")");
             }
         }
         circuit.state = CircuitState.OPEN;
@@ -710,7 +734,8 @@
 
     /** Calls a second that the group takes from all relays, as reported or listed; 0 where unknown. */
     private double fleetLimitPerSecond(LimitGroup group) {
-        double listedRate = group.routes.stream().filter(r -> r.listedInService).mapToDouble(r -> r.listedRatePerSecond).max().orElse(0);
+        double listedRate = group.routes.stream().filter(r -> r.listedInService)
+                .mapToDouble(r -> r.listedRatePerSecond).max().orElse(0);
         double hint = settings.rateHint() == RateHint.ROUGH ? listedRate / ROUGH_RATE_DIVISOR : listedRate;
         return group.reportedRate > 0 ? group.reportedRate : settings.rateHint() == RateHint.NONE ? 0 : hint;
     }
@@ -748,12 +773,14 @@
     /** Calls a second of this relay that a group bears since its return. */
     private double slowStartRate(LimitGroup group, long since) {
         double usualRate = Math.max(group.usualRate, fleetLimitPerSecond(group) / settings.fleetSize());
-        return Math.max(MIN_FLEET_SLOW_START_PER_SECOND / settings.fleetSize(), slowStartFactor(since) * usualRate);
+        return Math.max(MIN_FLEET_SLOW_START_PER_SECOND / settings.fleetSize(),
+                slowStartFactor(since) * usualRate);
     }
 
     private double effectivePacingRate(LimitGroup group) {
         long since = group.slowStartedAt;
-        return isInSlowStart(since) ? Math.min(group.pacingRate, slowStartRate(group, since)) : group.pacingRate;
+        return isInSlowStart(since) ? Math.min(group.pacingRate, slowStartRate(group, since))
+                : group.pacingRate;
     }
 
     private static long intervalMicros(double rate) {
@@ -762,7 +789,8 @@
 
     /** When a call is overdue by its route's own measure: it will hardly be answered any more. */
     private long overdueAt(Call call) {
-        return call.sentAt + capTimeoutMicros(Math.max(MIN_OVERDUE_MICROS, OVERDUE_RATIO * expectedResponseMicros(call.route)));
+        return call.sentAt + capTimeoutMicros(
+                Math.max(MIN_OVERDUE_MICROS, OVERDUE_RATIO * expectedResponseMicros(call.route)));
     }
 
     /**
@@ -772,16 +800,18 @@
     private long cancellableAt(Call call) {
         boolean lossy = areAnswersLost();
         if (!mayRetry(call)) {
-            return lossy ? call.sentAt + (long) Math.max(MIN_LOSSY_CANCEL_AGE_MICROS, OVERDUE_RATIO * expectedResponseMicros(call.route))
-                    : overdueAt(call);
+            return lossy ? call.sentAt + (long) Math.max(MIN_LOSSY_CANCEL_AGE_MICROS,
+                    OVERDUE_RATIO * expectedResponseMicros(call.route)) : overdueAt(call);
         }
-        return Math.min(overdueAt(call), call.sentAt + (long) Math.max(lossy ? MIN_LOSSY_CANCEL_AGE_MICROS : MIN_CANCEL_AGE_MICROS,
+        return Math.min(overdueAt(call), call.sentAt + (long) Math.max(
+                lossy ? MIN_LOSSY_CANCEL_AGE_MICROS : MIN_CANCEL_AGE_MICROS,
                 CANCEL_AGE_RATIO * expectedResponseMicros(call.route)));
     }
 
     /** True where another attempt may follow each first one of a call. */
     private static boolean mayRetry(Call call) {
-        return call.requests.stream().allMatch(r -> r.requestClass.idempotency() != Idempotency.ONCE && r.attempts.size() == 1);
+        return call.requests.stream()
+                .allMatch(r -> r.requestClass.idempotency() != Idempotency.ONCE && r.attempts.size() == 1);
     }
 
     /**
@@ -789,7 +819,8 @@
      * since. Calls that go early while answers get lost tell nothing: theirs might have come.
      */
     private void countLateOrLostAnswer(Call call, Result result, long elapsed) {
-        if (elapsed < CANCEL_AGE_RATIO * expectedResponseMicros(call.route) || areAnswersLost() && mayRetry(call)) {
+        if (elapsed < CANCEL_AGE_RATIO * expectedResponseMicros(call.route)
+                || areAnswersLost() && mayRetry(call)) {
             return;
         }
         boolean unanswered = result == Result.TIMEOUT || result == Result.CANCELLED;
@@ -802,7 +833,8 @@
 
     private boolean areAnswersLost() {
         double lostRate = ratePerSecond(lostAnswerRate);
-        return lostRate * RATE_TIME_CONSTANT_MICROS > MIN_SIGNIFICANT_LOSSES * MICROS_PER_SECOND && lostRate > ratePerSecond(lateAnswerRate);
+        return lostRate * RATE_TIME_CONSTANT_MICROS > MIN_SIGNIFICANT_LOSSES * MICROS_PER_SECOND
+                && lostRate > ratePerSecond(lateAnswerRate);
     }
 
     /** True where a call has been out for such a part of its span and nothing has answered since. */
@@ -851,15 +883,17 @@
     private boolean isUsable(Route route) {
         LimitGroup group = route.group;
         openIfSilent(route);
-        return isInService(route) && now >= group.retryAfterUntil && now >= route.connectionBackoffUntil && mayCallNow(group)
-                && !isCircuitTripped(route) && !(route.callsInFlight.size() >= 2 && isSilent(route, 0.5)) && !exceedsSlotShare(group, route);
+        return isInService(route) && now >= group.retryAfterUntil && now >= route.connectionBackoffUntil
+                && mayCallNow(group) && !isCircuitTripped(route) && !(route.callsInFlight.size() >= 2
+                        && isSilent(route, 0.5)) && !exceedsSlotShare(group, route);
     }
 
     private double score(Route route, double fastest) {
         double score = 100 - route.errorRate * 50 - route.circuit.consecutiveFailures * 10;
         score -= route.errorRate > UNHEALTHY_ERROR_RATIO ? 50 : 0;
         score += expectedResponseMicros(route) < FAST_RESPONSE_MICROS ? 20 : 0;
-        score -= expectedResponseMicros(route) > Math.min(SLOW_RESPONSE_MICROS, SLOW_RESPONSE_RATIO * Math.max(INITIAL_RESPONSE_MICROS, fastest)) ? 30 : 0;
+        score -= expectedResponseMicros(route) > Math.min(SLOW_RESPONSE_MICROS,
+                SLOW_RESPONSE_RATIO * Math.max(INITIAL_RESPONSE_MICROS, fastest)) ? 30 : 0;
         return Math.max(0, score + route.zoneBonus);
     }
 
@@ -888,13 +922,16 @@
 
     /** Until when another attempt may leave; that of a class which may take effect once is over at once. */
     private static long repeatableUntil(Request request) {
-        Attempt first = request.requestClass.idempotency() == Idempotency.REPEATABLE ? null : firstPossiblyExecutedAttempt(request);
-        long window = request.requestClass.idempotency() == Idempotency.ONCE ? 0 : request.requestClass.dedupWindowMicros();
+        Attempt first = request.requestClass.idempotency() == Idempotency.REPEATABLE ? null
+                : firstPossiblyExecutedAttempt(request);
+        long window = request.requestClass.idempotency() == Idempotency.ONCE ? 0
+                : request.requestClass.dedupWindowMicros();
         return first == null ? Long.MAX_VALUE : first.call.sentAt + window;
     }
 
     private Route pickRoute(Request request, List<Route> usable) {
-        List<Route> allowed = new ArrayList<>(usable.stream().filter(r -> isAllowedByRepeatRules(request, r)).toList());
+        List<Route> allowed = new ArrayList<>(
+                usable.stream().filter(r -> isAllowedByRepeatRules(request, r)).toList());
         if (allowed.size() > 1) {
             allowed.remove(request.lastRoute());
         }
@@ -923,8 +960,8 @@
     private record Candidate(Request request, Route route, double lossFromWaiting) { }
 
     private void dispatch() {
-        var candidates = new PriorityQueue<>(
-                Comparator.comparingDouble(Candidate::lossFromWaiting).reversed().thenComparingLong(c -> c.request.id));
+        var candidates = new PriorityQueue<>(Comparator.comparingDouble(Candidate::lossFromWaiting)
+                .reversed().thenComparingLong(c -> c.request.id));
         coordinatedGroups.forEach(this::grantTokens);
         coordinatedGroups.removeIf(group -> group.coordinator.waitingRelays.isEmpty());
         callResumedRequests();
@@ -946,8 +983,8 @@
         if (wanted == 0 || !settings.limits().mayCancel()) {
             return;
         }
-        List<Call> overdue = callsInFlight.stream().filter(call -> !call.cancelRequested && cancellableAt(call) <= now)
-                .limit(wanted).toList();
+        List<Call> overdue = callsInFlight.stream()
+                .filter(call -> !call.cancelRequested && cancellableAt(call) <= now).limit(wanted).toList();
         for (Call call : overdue) {
             call.cancelRequested = true;
             for (Request request : call.requests) {
@@ -974,7 +1011,8 @@
             // What a restart has found goes first, by its end: it is owed a try, and older than the rest.
             double loss = request.resumedUntried ? Double.MAX_VALUE : lossFromWaiting(request, usable.get(0));
             boolean earlier = best != null && loss == highestLoss && request.deadline < best.deadline;
-            if ((loss > highestLoss || earlier) && isNextForKey(request) && canBeAnsweredInTime(request, usable.get(0))
+            if ((loss > highestLoss || earlier) && isNextForKey(request)
+                    && canBeAnsweredInTime(request, usable.get(0))
                     && usable.stream().anyMatch(route -> isAllowedByRepeatRules(request, route))) {
                 best = request;
                 highestLoss = loss;
@@ -995,7 +1033,8 @@
         double expiredRate = ratePerSecond(destination.expiredRate);
         boolean overloaded = expiredRate > OVERLOAD_EXPIRED_SHARE * ratePerSecond(destination.acceptedRate)
                 && expiredRate * RATE_TIME_CONSTANT_MICROS > MIN_SIGNIFICANT_LOSSES * MICROS_PER_SECOND;
-        return valueAt(request, answeredAt) - (overloaded ? 0 : valueAt(request, answeredAt + WAITING_HORIZON_MICROS));
+        return valueAt(request, answeredAt)
+                - (overloaded ? 0 : valueAt(request, answeredAt + WAITING_HORIZON_MICROS));
     }
 
     /** Guards against calls that can't be answered in time any more. */
@@ -1005,8 +1044,8 @@
 
     /** Within pace; while all ask for turns, with a turn or after waiting for one in vain. */
     private boolean mayCallNow(LimitGroup group) {
-        return now >= group.nextCallAt
-                && (now >= group.coordinatedUntil || now < group.tokenValidUntil || group.tokenRequested && !isAwaitingToken(group));
+        return now >= group.nextCallAt && (now >= group.coordinatedUntil || now < group.tokenValidUntil
+                || group.tokenRequested && !isAwaitingToken(group));
     }
 
     /**
@@ -1059,7 +1098,8 @@
     private void coordinate(LimitGroup group, int fromRelay, PeerNoteType type) {
         TokenCoordinator coordinator = group.coordinator;
         if (type == PeerNoteType.CALL_SERVED) {
-            coordinator.recoveredAt = coordinator.failures >= FAILURES_TO_OPEN ? now : coordinator.recoveredAt;
+            coordinator.recoveredAt =
+                    coordinator.failures >= FAILURES_TO_OPEN ? now : coordinator.recoveredAt;
             coordinator.failures = 0;
             return;
         }
@@ -1070,7 +1110,8 @@
         }
         coordinator.waitingRelays.add(fromRelay);
         coordinatedGroups.add(group);
-        if (now - coordinator.announcedAt > COORDINATION_MICROS - MICROS_PER_SECOND && (type != PeerNoteType.TOKEN_REQUEST || coordinator.waitingRelays.size() > 1)) {
+        if (now - coordinator.announcedAt > COORDINATION_MICROS - MICROS_PER_SECOND
+                && (type != PeerNoteType.TOKEN_REQUEST || coordinator.waitingRelays.size() > 1)) {
             coordinator.announcedAt = now;
             group.coordinatedUntil = now + COORDINATION_MICROS;
             sendPeerNote(-1, PeerNoteType.COORDINATION_START, group.number);
@@ -1091,11 +1132,14 @@
     }
 
     private double tokenRatePerSecond(LimitGroup group, TokenCoordinator coordinator) {
-        double limit = fleetLimitPerSecond(group) == 0 ? MIN_FLEET_CALLS_PER_SECOND : fleetLimitPerSecond(group);
-        coordinator.limitFactor = Math.min(MAX_LIMIT_RATIO, coordinator.limitFactor * growthFactor(coordinator.lastGrownAt));
+        double limit = fleetLimitPerSecond(group) == 0 ? MIN_FLEET_CALLS_PER_SECOND
+                : fleetLimitPerSecond(group);
+        coordinator.limitFactor =
+                Math.min(MAX_LIMIT_RATIO, coordinator.limitFactor * growthFactor(coordinator.lastGrownAt));
         coordinator.lastGrownAt = now;
         boolean warm = !isInSlowStart(coordinator.recoveredAt);
-        return limit * (warm ? coordinator.limitFactor : Math.min(coordinator.limitFactor, slowStartFactor(coordinator.recoveredAt)));
+        return limit * (warm ? coordinator.limitFactor
+                : Math.min(coordinator.limitFactor, slowStartFactor(coordinator.recoveredAt)));
     }
 
     private boolean isAwaitingToken(LimitGroup group) {
@@ -1105,7 +1149,8 @@
     private void requestTokens(Destination destination) {
         for (Route route : destination.routes.values()) {
             LimitGroup group = route.group;
-            if (route.listedInService && now < group.coordinatedUntil && !isAwaitingToken(group) && now >= group.tokenValidUntil) {
+            if (route.listedInService && now < group.coordinatedUntil && !isAwaitingToken(group)
+                    && now >= group.tokenValidUntil) {
                 reportToCoordinator(group, PeerNoteType.TOKEN_REQUEST);
             }
         }
@@ -1123,10 +1168,10 @@
             boolean groupTripped = route.group.circuit.state != CircuitState.CLOSED;
             CircuitBreaker circuit = groupTripped ? route.group.circuit : route.circuit;
             // Guards against a group that is tested again and again by its one dead route.
-            boolean hasBetter = groupTripped && route.group.routes.stream()
-                    .anyMatch(other -> other.listedInService && other.circuit.consecutiveFailures < route.circuit.consecutiveFailures);
-            if (isInService(route) && !hasBetter && isReadyForTrial(circuit) && now >= route.group.retryAfterUntil
-                    && callsInFlight.size() < slotLimit()) {
+            boolean hasBetter = groupTripped && route.group.routes.stream().anyMatch(r -> r.listedInService
+                    && r.circuit.consecutiveFailures < route.circuit.consecutiveFailures);
+            if (isInService(route) && !hasBetter && isReadyForTrial(circuit)
+                    && now >= route.group.retryAfterUntil && callsInFlight.size() < slotLimit()) {
                 sendTrial(destination, route, circuit);
             }
         }
@@ -1135,7 +1180,8 @@
     private void sendTrial(Destination destination, Route route, CircuitBreaker circuit) {
         // Guards against a test that only tells that its message's time was up.
         Request chosen = destination.waiting.stream()
-                .filter(r -> isNextForKey(r) && isAllowedByRepeatRules(r, route) && r.deadline - now >= trialTimeoutMicros(r, route))
+                .filter(r -> isNextForKey(r) && isAllowedByRepeatRules(r, route)
+                        && r.deadline - now >= trialTimeoutMicros(r, route))
                 .min(Comparator.comparingInt(DeliveryPolicy::trialCost)).orElse(null);
         if (chosen == null) {
             return;
@@ -1164,13 +1210,15 @@
         countEvent(route.group.sentRate);
         countEvent(route.group.recentSentRate);
         route.group.tokenValidUntil = now;
-        route.group.nextCallAt = Math.max(route.group.nextCallAt, now) + intervalMicros(effectivePacingRate(route.group));
+        route.group.nextCallAt = Math.max(route.group.nextCallAt, now)
+                + intervalMicros(effectivePacingRate(route.group));
         addToCall(request, call);
         DestinationKind kind = kinds.get(route.kind);
         int maxAdded = trial || kind == null ? 0 : kind.maxBatchSize() - 1;
         if (maxAdded > 0) {
             for (Request other : List.copyOf(request.destination.waiting)) {
-                if (call.pendingAttempts <= maxAdded && isNextForKey(other) && isAllowedByRepeatRules(other, route)) {
+                if (call.pendingAttempts <= maxAdded && isNextForKey(other)
+                        && isAllowedByRepeatRules(other, route)) {
                     addToCall(other, call);
                 }
             }
@@ -1189,7 +1237,8 @@
     }
 
     private long attemptTimeoutMicros(Request request, Call call) {
-        boolean lastAttempt = request.requestClass.idempotency() == Idempotency.ONCE || request.attempts.size() >= request.maxAttempts;
+        boolean lastAttempt = request.requestClass.idempotency() == Idempotency.ONCE
+                || request.attempts.size() >= request.maxAttempts;
         if (lastAttempt) {
             return 0;
         }
@@ -1209,7 +1258,8 @@
     }
 
     private long trialTimeoutMicros(Route route) {
-        return capTimeoutMicros(Math.max(MIN_TRIAL_TIMEOUT_MICROS, TRIAL_TIMEOUT_RATIO * expectedResponseMicros(route)));
+        return capTimeoutMicros(
+                Math.max(MIN_TRIAL_TIMEOUT_MICROS, TRIAL_TIMEOUT_RATIO * expectedResponseMicros(route)));
     }
 
     private void onRouteListUpdate(RouteListUpdate e) {
@@ -1288,7 +1338,8 @@
                 nextDue = callAt > now ? Math.min(nextDue, callAt) : nextDue;
             }
         }
-        nextDue = Math.min(nextDue, coordinatedGroups.stream().mapToLong(group -> group.coordinator.nextTokenAt).min().orElse(nextDue));
+        nextDue = Math.min(nextDue, coordinatedGroups.stream()
+                .mapToLong(group -> group.coordinator.nextTokenAt).min().orElse(nextDue));
         for (Destination destination : waitingDestinations) {
             for (Route route : destination.routes.values()) {
                 nextDue = Math.min(nextDue, route.listedInService ? usableOrTrialAt(route) : Long.MAX_VALUE);
@@ -1308,8 +1359,10 @@
     /** When the route may be used or tested next, if only time stands in the way. */
     private long usableOrTrialAt(Route route) {
         LimitGroup group = route.group;
-        long tokenWaitUntil = Math.min(group.coordinatedUntil, group.tokenRequested ? group.tokenRequestedAt + TOKEN_TIMEOUT_MICROS : Long.MAX_VALUE);
-        long usableAt = Math.max(Math.max(group.nextCallAt, group.retryAfterUntil), Math.max(tokenWaitUntil, route.connectionBackoffUntil));
+        long tokenWaitUntil = Math.min(group.coordinatedUntil,
+                group.tokenRequested ? group.tokenRequestedAt + TOKEN_TIMEOUT_MICROS : Long.MAX_VALUE);
+        long usableAt = Math.max(Math.max(group.nextCallAt, group.retryAfterUntil),
+                Math.max(tokenWaitUntil, route.connectionBackoffUntil));
         if (route.circuit.state == CircuitState.OPEN) {
             usableAt = Math.max(group.retryAfterUntil, route.circuit.openUntil);
         }
