--- a/src/main/java/drumdeal/DeliveryPolicy.java
+++ b/src/main/java/drumdeal/DeliveryPolicy.java
@@ -1,89 +1,86 @@
-// The interface is in Policy.java: settings, events and actions. docs/design.md explains the mechanism.
+// Implements the interface in Policy.java, which declares the settings, events and actions.
 package drumdeal;
 
 import drumdeal.DeliveryState.*;
 import java.nio.ByteBuffer;
 import java.util.*;
 
-/** Every decision of a relay: which route, when, how long, and whether to hold, refuse or fail. */
+/** Takes every decision of a relay: which route, when, for how long, and whether to hold, reject or fail. */
 public final class DeliveryPolicy implements Policy {
-    // Circuit.
-    private static final int FAILURES_TO_OPEN = 3; // the source's
-    private static final double CALLS_PER_FAILURE = 2; // calls in ten seconds that ask for one failure more
-    private static final long MIN_OPEN_MICROS = 2_000_000; // outages last seconds
-    private static final long TRIAL_SPACING_MICROS = 1_000_000; // between tests when all relays test one destination
-    private static final double JITTER_RATIO = 1; // those that learned the same at once don't return at once
-    private static final double UNHEALTHY_ERROR_RATIO = 0.5; // the source's error rate, which also opens
-    private static final double MOVING_AVERAGE_WEIGHT = 0.2; // about the last five calls count
-
-    // Score.
-    private static final double MAX_SCORE_GAP = 20; // the source's span of the draw
-    private static final long FAST_RESPONSE_MICROS = 1_000_000; // the source's bonus
-    private static final long SLOW_RESPONSE_MICROS = 5_000_000; // the source's penalty
-    private static final double SLOW_RESPONSE_RATIO = 3; // times the destination's best that count as sluggish
-    private static final double MAX_ZONE_BONUS = 8; // tilts the draw to near or cheap routes, can't decide it
-
-    // Pace.
-    private static final double PACING_GROWTH_RATIO_PER_SECOND = 0.1; // the source's, at first
-    private static final double PACING_GROWTH_GAIN_PER_SECOND = 1; // more by each second: what was cut may have room again
-    private static final double PACING_REGAIN_RATIO_PER_SECOND = 1; // doubling each second, to what was refused last
-    private static final double PACING_REGAIN_SHARE = 0.8; // of that: the rest is for slow growth to find
-    private static final double MAX_GROWTH_RATIO_PER_SERVED_CALL = 0.05; // at most by one serve
-    private static final double MAX_REGAIN_RATIO_PER_SERVED_CALL = 0.25; // likewise, to what was refused last
-    private static final double MIN_PACING_CUT_RATIO = 0.5; // at most, where next to nothing is served
-    private static final double MIN_FLEET_CALLS_PER_SECOND = 3; // of all relays, after refusals
-    private static final long MAX_GROWTH_SPAN_MICROS = 2_000_000; // one serve after a long rest proves little
-    private static final long MIN_CUT_INTERVAL_MICROS = 500_000; // refusals so soon after a cut were sent before it
-    private static final long CONNECTION_BACKOFF_MICROS = 100_000; // about a call: a connection may be free after it
-    private static final int MAX_CONNECTION_BACKOFF_DOUBLINGS = 4; // at most
-    private static final long OUTAGE_RETRY_AFTER_MICROS = 2_500_000; // longer than a counting window: the destination is shut
-    private static final long OUTAGE_REFUSAL_SPAN_MICROS = 3_000_000; // refusals without a serve for so long: as good as shut
-
-    // Release after an outage.
-    private static final double SLOW_START_MARGIN_RATIO = 0.9; // of the rule's budget
-    private static final double MIN_FLEET_SLOW_START_PER_SECOND = 0.75; // of all relays where nothing else is known
+    // Circuit breakers
+    private static final int FAILURES_TO_OPEN = 3; // in a row
+    private static final double CALLS_PER_FAILURE = 2; // calls in ten seconds for each failure needed to open
+    private static final long MIN_OPEN_MICROS = 2_000_000; // outages last for seconds
+    private static final long TRIAL_SPACING_MICROS = 1_000_000; // between trials if all relays try one group
+    private static final double JITTER_RATIO = 1; // keeps relays that fail together from returning together
+    private static final double UNHEALTHY_ERROR_RATIO = 0.5; // a higher error rate also opens the circuit
+    private static final double MOVING_AVERAGE_WEIGHT = 0.2; // of the latest call: about the last five count
+
+    // Route scores
+    private static final double MAX_SCORE_GAP = 20; // routes further below the best one get no calls
+    private static final long FAST_RESPONSE_MICROS = 1_000_000; // a faster route gets a bonus
+    private static final long SLOW_RESPONSE_MICROS = 5_000_000; // a slower route gets a penalty
+    private static final double SLOW_RESPONSE_RATIO = 3; // so does one slower than the fastest by this factor
+    private static final double MAX_ZONE_BONUS = 8; // favors near or cheap routes; too small to decide alone
+
+    // Pacing and slow start
+    private static final double PACING_GROWTH_RATIO_PER_SECOND = 0.1; // at first, after a cut
+    private static final double PACING_GROWTH_GAIN_PER_SECOND = 1; // growth speeds up: capacity may be back
+    private static final double PACING_REGAIN_RATIO_PER_SECOND = 1; // doubles, up to the last refused rate
+    private static final double PACING_REGAIN_SHARE = 0.8; // of the last refused rate, then slow growth
+    private static final double MAX_GROWTH_RATIO_PER_SERVED_CALL = 0.05; // bounds what one served call adds
+    private static final double MAX_REGAIN_RATIO_PER_SERVED_CALL = 0.25; // same, up to the last refused rate
+    private static final double MIN_PACING_CUT_RATIO = 0.5; // kept by a cut where next to nothing is served
+    private static final double MIN_FLEET_CALLS_PER_SECOND = 3; // of all relays together, after refusals
+    private static final long MAX_GROWTH_SPAN_MICROS = 2_000_000; // a served call after idling proves little
+    private static final long MIN_CUT_INTERVAL_MICROS = 500_000; // calls refused so soon were sent before it
+    private static final long CONNECTION_BACKOFF_MICROS = 100_000; // about one call: a connection may be free
+    private static final int MAX_CONNECTION_BACKOFF_DOUBLINGS = 4;
+    private static final long OUTAGE_RETRY_AFTER_MICROS = 2_500_000; // beyond any limit's window: an outage
+    private static final long OUTAGE_REFUSAL_SPAN_MICROS = 3_000_000; // refusals alone so long: an outage
+    private static final double SLOW_START_MARGIN_RATIO = 0.9; // of the load that the service rules allow
+    private static final double MIN_FLEET_SLOW_START_PER_SECOND = 0.75; // of all relays, if nothing is known
     private static final double ROUGH_RATE_DIVISOR = 1.5; // a rough rate may be half too high
 
-    // Time-outs and silence.
-    private static final long MIN_TIMEOUT_MICROS = 4_000_000; // slow calls must not be sent twice
-    private static final long MIN_OVERDUE_MICROS = 2_500_000; // later than most goals
-    private static final double OVERDUE_RATIO = 8; // times the usual response: work varies that much
-    private static final long MIN_CANCEL_AGE_MICROS = 1_000_000; // others want the slot and another attempt may follow
-    private static final long MIN_LOSSY_CANCEL_AGE_MICROS = 400_000; // and answers get lost
-    private static final double CANCEL_AGE_RATIO = 5;
-    private static final long MIN_TRIAL_TIMEOUT_MICROS = 1_500_000; // a longer test has told enough
-    private static final double TRIAL_TIMEOUT_RATIO = 4; // where the usual response is long
-    private static final double MAX_TIMEOUT_SHARE = 0.7; // of the longest deadline, or of its own
-    private static final long INITIAL_RESPONSE_MICROS = 400_000; // response before the first answer
-    private static final long STALE_RESPONSE_MICROS = 5_000_000; // a response so old says nothing of now
-
-    // Overload.
-    private static final double OVERLOAD_EXPIRED_SHARE = 0.02; // of a destination's messages that run out of time
-    private static final double MIN_SIGNIFICANT_LOSSES = 3; // in ten seconds: fewer say little
-
-    // Slots.
-    private static final double MAX_SLOT_SHARE = 0.5; // of one destination
-    private static final double MAX_SCARCE_SLOT_SHARE = 0.2; // of a slow one, and of any while few slots are left
-    private static final double SLOTS_SCARCE_FROM_SHARE = 0.75; // of the slots out: those left are for other destinations
-
-    // Restarts.
-    private static final long RESUMED_CALL_LEAD_MICROS = 1_000_000; // before its end what a restart found is called
-    private static final double RESUMED_CALL_LEAD_RATIO = 2; // where the usual response is long
-    private static final long RESTART_MICROS = 3_500_000; // until the next process can call
-
-    // Notes.
-    private static final long COORDINATION_MICROS = 10_000_000; // how long trouble told of makes all ask for turns
-    private static final long TOKEN_TIMEOUT_MICROS = 8_000_000; // a turn so late is lost: a relay goes by its own pace
-    private static final double COORDINATOR_CUT_RATIO = 0.8; // gentle, as a keeper hears the refusals of all
+    // Time-outs and unanswered calls
+    private static final long MIN_TIMEOUT_MICROS = 4_000_000; // a merely slow call must not be sent twice
+    private static final long MIN_OVERDUE_MICROS = 2_500_000; // longer than most goals
+    private static final double OVERDUE_RATIO = 8; // times the expected response: work varies that much
+    private static final long MIN_CANCEL_AGE_MICROS = 1_000_000; // slot is wanted, and a retry may follow
+    private static final long MIN_LOSSY_CANCEL_AGE_MICROS = 400_000; // same, while answers get lost
+    private static final double CANCEL_AGE_RATIO = 5; // times the expected response, in both cases
+    private static final long MIN_TRIAL_TIMEOUT_MICROS = 1_500_000; // a longer trial tells no more
+    private static final double TRIAL_TIMEOUT_RATIO = 4; // times the expected response, where longer
+    private static final double MAX_TIMEOUT_SHARE = 0.7; // of the longest time limit, or of the request's own
+    private static final long INITIAL_RESPONSE_MICROS = 400_000; // assumed before the first answer
+    private static final long STALE_RESPONSE_MICROS = 5_000_000; // an older time says nothing of the present
+
+    // Overload, slots and restarts
+    private static final double OVERLOAD_EXPIRED_SHARE = 0.02; // of a destination's requests that expire
+    private static final double MIN_SIGNIFICANT_LOSSES = 3; // in ten seconds; fewer prove little
+
+    private static final double MAX_SLOT_SHARE = 0.5; // of all slots, for one group
+    private static final double MAX_SCARCE_SLOT_SHARE = 0.2; // for a slow one, or any while slots are scarce
+    private static final double SLOTS_SCARCE_FROM_SHARE = 0.75; // of the slots in use: the rest is for others
+
+    private static final long RESUMED_CALL_LEAD_MICROS = 1_000_000; // before the deadline, for a last call
+    private static final double RESUMED_CALL_LEAD_RATIO = 2; // times the expected response, where longer
+    private static final long RESTART_MICROS = 3_500_000; // until the next process can make calls
+
+    // Notes between relays
+    private static final long COORDINATION_MICROS = 10_000_000; // relays ask for tokens so long after a note
+    private static final long TOKEN_TIMEOUT_MICROS = 8_000_000; // then it counts as lost; own pacing applies
+    private static final double COORDINATOR_CUT_RATIO = 0.8; // gentle: it receives the refusals of all relays
     private static final double MAX_LIMIT_RATIO = 2; // a rough rate may be this much too low
 
-    private static final long RATE_TIME_CONSTANT_MICROS = DecayingRate.DEFAULT_TIME_CONSTANT_MICROS; // a relay may call a destination once in so long
-    private static final double MIN_OBSERVED_SHARE = 0.4; // of a span: a first burst is not what is usual
+    private static final long RATE_TIME_CONSTANT_MICROS =
+            DecayingRate.DEFAULT_TIME_CONSTANT_MICROS; // a relay may call a destination only once in so long
+    private static final double MIN_OBSERVED_SHARE = 0.4; // of the time constant: a first burst is not usual
     private static final long MICROS_PER_SECOND = 1_000_000;
-    private static final long WAITING_HORIZON_MICROS = 2_000_000; // what those that wait now may wait longer
-    private static final long WAKE_UP_TIMER = 1; // timer of whatever is due next
-    private static final long SUBSCRIBE_TIMER = 2; // timer of the list
-    private static final long SUBSCRIBE_RETRY_MICROS = 3_000_000; // far within the span of the rule
+    private static final long WAITING_HORIZON_MICROS = 2_000_000; // a waiting request may wait longer by this
+    private static final long WAKE_UP_TIMER = 1; // for whatever is due next
+    private static final long SUBSCRIBE_TIMER = 2; // for subscribing to the route list again
+    private static final long SUBSCRIBE_RETRY_MICROS = 3_000_000; // well below maxDiscoveryIntervalMicros
 
     private Settings settings;
     private final SplittableRandom random;
@@ -92,40 +89,34 @@
     private final Map<String, Route> routes = new LinkedHashMap<>();
     private final Map<Integer, Destination> destinations = new LinkedHashMap<>();
     private final Map<Integer, LimitGroup> groups = new HashMap<>();
-    private final Set<LimitGroup> coordinatedGroups = new LinkedHashSet<>();
-    private final Map<Long, Request> requests = new HashMap<>();
-    private final Map<String, KeyQueue> keyQueues = new HashMap<>();
+    private final Set<LimitGroup> coordinatedGroups = new LinkedHashSet<>(); // with relays awaiting tokens
+    private final Map<Long, Request> requests = new HashMap<>(); // by id
+    private final Map<String, KeyQueue> keyQueues = new HashMap<>(); // by order key
     private static final Comparator<Request> BY_EXPIRY =
             Comparator.<Request>comparingLong(r -> r.expiresAt).thenComparingLong(r -> r.id);
     private final TreeSet<Request> requestsByExpiry = new TreeSet<>(BY_EXPIRY);
     private final ResumedRequests resumedRequests = new ResumedRequests();
-    /** Destinations with messages waiting: a round costs what these cost, however many are known. */
+    /** Destinations with waiting requests; a round's work grows with these, not with all known ones. */
     private final Set<Destination> waitingDestinations = new LinkedHashSet<>();
-    /** Calls out, oldest first; each takes a slot. */
-    private final Set<Call> callsInFlight = new LinkedHashSet<>();
-    /** Calls out for long by their route's measure: those answered after all, and those never. */
-    private final DecayingRate lateAnswerRate = new DecayingRate(0);
-    private final DecayingRate lostAnswerRate = new DecayingRate(0);
+    private final Set<Call> callsInFlight = new LinkedHashSet<>(); // oldest first; each holds a slot
+    private final DecayingRate lateAnswerRate = new DecayingRate(0); // slow calls that were answered
+    private final DecayingRate lostAnswerRate = new DecayingRate(0); // slow calls that were never answered
     private long longestTimeLimitMicros;
     private long now;
     private Actions actions;
-    private int openRequestCount;
-    /** Calls out at another process of this relay that this one takes over from; they hold slots. */
-    private int predecessorCallsInFlight;
-    private long wakeUpAt = Long.MAX_VALUE;
+    private int openRequestCount; // accepted or resumed, and not ended
+    private int predecessorCallsInFlight; // of the process that this one replaces; they hold slots
+    private long wakeUpAt = Long.MAX_VALUE; // when the wake-up timer fires; MAX_VALUE where not set
     private boolean subscriptionRequested;
     private boolean shuttingDown;
-    /** Since when there is news that was not heard, and from when on it counts as told. */
-    private long listStaleSince;
-    private long listExpiresAt = Long.MAX_VALUE;
+    private long listStaleSince; // from when on changes to the list may have been missed
+    private long listExpiresAt = Long.MAX_VALUE; // from when on those changes count as received
 
-    /** A module that starts knowing only its settings. */
     public DeliveryPolicy(Settings settings) {
         random = new SplittableRandom(settings.seed());
         applySettings(settings);
     }
 
-    /** Takes settings whole; what requests were accepted under and what routes have shown stays. */
     private void applySettings(Settings newSettings) {
         settings = newSettings;
         classes.clear();
@@ -154,15 +145,14 @@
         }
     }
 
-    /** What drains, has an open circuit or told to wait; not what only waits for its pace or a slot. */
+    /** Counts routes that drain, have an open circuit or asked to wait, not those short of rate or slots. */
     @Override
     public int countUnavailableRoutes(long now) {
-        return (int) routes.values().stream().filter(r -> r.inRouteList)
-                .filter(r -> !r.listedInService || now < r.group.retryAfterUntil || isCircuitTripped(r))
-                .count();
+        return (int) routes.values().stream().filter(r -> r.inRouteList).filter(r -> !r.listedInService
+                || now < r.group.retryAfterUntil || isCircuitTripped(r)).count();
     }
 
-    /** Guards against a fleet whose every guard costs every relay a round's work: it lets nothing new go. */
+    /** Such a note goes to every relay and allows no new call, so no relay spends a dispatch on it. */
     private static boolean isCoordinationStart(Event event) {
         return event instanceof PeerNote e && e.payload().length > 0
                 && PeerNoteType.fromOrdinal(e.payload()[0]) == PeerNoteType.COORDINATION_START;
@@ -209,7 +199,7 @@
         return LearnedStateCodec.encode(destinations, groups, routes);
     }
 
-    /** Waits told and failures there bind here as well; it is one relay to its endpoints. */
+    /** Applies the call's retry-after and result here too: to endpoints, both processes are one relay. */
     private void onPredecessorCallEnded(PredecessorCallEnded e) {
         predecessorCallsInFlight = e.predecessorCallsInFlight();
         Route route = routes.get(e.route());
@@ -227,7 +217,7 @@
                 && callsInFlight.stream().noneMatch(call -> call.trial && call.route.group == route.group);
     }
 
-    /** Guards against a circuit that stays half-open for a test that its process took with it. */
+    /** Ends a trial of the predecessor, whose result never comes; the circuit would stay half-open. */
     private void clearPredecessorTrial(Route route) {
         if (hasPredecessorTrial(route)) {
             route.circuit.trialInFlight = false;
@@ -235,9 +225,8 @@
         }
     }
 
-    /** How many calls this process may have out. */
     private int slotLimit() {
-        return settings.limits().callSlots() - predecessorCallsInFlight;
+        return settings.limits().callSlots() - predecessorCallsInFlight; // both processes share the slots
     }
 
     private void onRequestAccepted(RequestAccepted e) {
@@ -247,7 +236,7 @@
         }
     }
 
-    /** Past attempts count on; one without a known result may have run and can't be answered any more. */
+    /** Past attempts count; one without a known result may have executed and cannot be answered any more. */
     private void onRequestResumed(RequestResumed e) {
         Request request = addRequest(e.request());
         for (PastAttempt past : e.attempts()) {
@@ -257,18 +246,15 @@
             pauseKeyQueueIfUncertain(request, attempt.result);
         }
         resumedRequests.add(request, e.attempts().stream().allMatch(p -> p.result() == Result.NOT_SENT));
-        // Guards against a list from before that lacks its destination; the next call for it may be long off.
         if (request.destination.routes.values().stream().noneMatch(route -> route.listedInService)) {
-            actions.fetchRouteList();
+            actions.fetchRouteList(); // the list may be older than the destination, its next fetch far off
         }
         dequeue(request);
         requeueOrEnd(request);
     }
 
-    /**
-     * What a restart found is tried at the last, whatever the pace; where a circuit came back open as early
-     * as a cold destination bears it: a fleet that owes much there would push it over at the end.
-     */
+    /** Calls requests found at restart whatever the pacing: shortly before their deadlines or, if a circuit
+     * is open, as early as a cold destination bears: a fleet's last calls at once would overload it. */
     private void callResumedRequests() {
         for (Request request : resumedRequests.untriedRequests.stream().filter(this::isNextForKey)
                 .sorted(BY_EXPIRY).toList()) {
@@ -289,9 +275,8 @@
     }
 
     private long resumedCallAt(Request request, Route route) {
-        // Guards against calls that hold their slots to the end while nothing answers.
         boolean callEarly = isCircuitTripped(route) && request.requestClass.idempotency() != Idempotency.ONCE
-                && !exceedsSlotShare(route.group, route);
+                && !exceedsSlotShare(route.group, route); // unanswered calls would hold slots to the end
         long latest = request.deadline - (long) Math.max(RESUMED_CALL_LEAD_MICROS,
                 RESUMED_CALL_LEAD_RATIO * expectedResponseMicros(route));
         return Math.max(callEarly ? now : latest,
@@ -333,7 +318,7 @@
         return destinations.computeIfAbsent(number, n -> new Destination(now));
     }
 
-    /** Guards against a full buffer, which would turn away worthy requests at the door unseen. */
+    /** Makes room: at the limit, the relay would reject even valuable requests before they get here. */
     private void shedLeastValuable() {
         waitingDestinations.stream().flatMap(destination -> destination.waiting.stream())
                 .filter(r -> !r.resumedUntried && isSafeToReject(r))
@@ -341,7 +326,7 @@
     }
 
     private boolean isSafeToReject(Request request) {
-        return firstPossiblyExecutedAttempt(request) == null
+        return firstPossiblyExecutedAttempt(request) == null // a client may repeat a rejected request
                 || isRepeatableAnywhere(request.requestClass) && now < repeatableUntil(request);
     }
 
@@ -350,7 +335,6 @@
                 || type.idempotency() == Idempotency.BY_KEY && type.keyScope() == KeyScope.ALL;
     }
 
-    /** Ends a request that has no attempt out, undelivered. */
     private void endUndelivered(Request request) {
         if (isSafeToReject(request)) {
             actions.rejectRequest(request.id,
@@ -361,7 +345,6 @@
         finish(request);
     }
 
-    /** When a route of the request's destination may be free again: what the client had better wait for. */
     private long retryDelayMicros(Request request) {
         long freeAt = request.destination.routes.values().stream().filter(route -> route.listedInService)
                 .mapToLong(this::usableOrTrialAt).min().orElse(Long.MAX_VALUE);
@@ -377,7 +360,6 @@
         forgetIfSettled(request);
     }
 
-    /** Forgets a finished request once no attempt of it is out. */
     private void forgetIfSettled(Request request) {
         if (!request.done || request.attemptsInFlight > 0) {
             return;
@@ -400,12 +382,12 @@
         return queue.requests.peek() == request && (!request.attempts.isEmpty() || queue.pausedUntil <= now);
     }
 
-    /** Guards, in a process that ends, against leaving to the next one what it can't try in time any more. */
+    /** While shutting down, true also for a request that the next process could not call in time. */
     private boolean isExpired(Request request) {
         return request.expiresAt <= now + (shuttingDown ? RESTART_MICROS : 0);
     }
 
-    /** Ends what has run out of time; an attempt still out reports its own time-out. */
+    /** Ends requests out of time; one with an attempt in flight ends when that reports its time-out. */
     private void endExpired() {
         while (!requestsByExpiry.isEmpty() && isExpired(requestsByExpiry.first())) {
             Request request = requestsByExpiry.pollFirst();
@@ -416,7 +398,6 @@
         }
     }
 
-    /** What a request would earn if it were delivered at a time. */
     private double valueAt(Request request, long deliveredAt) {
         RequestClass type = request.requestClass;
         long age = deliveredAt - request.acceptedAt;
@@ -427,7 +408,7 @@
             return 0;
         }
         double lateness = age - type.goalMicros();
-        double share = settings.lateValueHalves()
+        double share = settings.lateValueHalves() // with each further goal span; else it falls evenly
                 ? Math.max(type.lateValueShare(), Math.pow(0.5, lateness / Math.max(1, type.goalMicros())))
                 : 1 - (1 - type.lateValueShare()) * lateness / (type.timeLimitMicros() - type.goalMicros());
         return type.value() * share;
@@ -450,12 +431,10 @@
             call.route.callsInFlight.remove(call);
             call.route.group.callsInFlight--;
         }
-        // Guards against a wait told to only some of the requests of one call.
-        applyRetryAfter(call.route.group, e.retryAfterMicros());
+        applyRetryAfter(call.route.group, e.retryAfterMicros()); // each of a call's attempts may bring one
         if (!call.resultRecorded) {
             call.resultRecorded = true;
-            // Guards against blaming a route for a message that was sent shortly before its time was up.
-            boolean tooEarly = e.result() == Result.TIMEOUT
+            boolean tooEarly = e.result() == Result.TIMEOUT // due to the deadline, not to the route
                     && e.elapsedMicros() < trialTimeoutMicros(request, call.route);
             countLateOrLostAnswer(call, e.result(), e.elapsedMicros());
             recordResult(call, tooEarly ? Result.NOT_SENT : e.result(), e.retryAfterMicros(),
@@ -492,8 +471,7 @@
     }
 
     private void requeueOrEnd(Request request) {
-        // Guards against a message that waits for an attempt which its class allows no more.
-        requestsByExpiry.remove(request);
+        requestsByExpiry.remove(request); // it must not wait for an attempt that its class forbids
         request.expiresAt = Math.min(request.deadline, repeatableUntil(request));
         requestsByExpiry.add(request);
         if (isExpired(request) || request.attempts.size() >= request.maxAttempts) {
@@ -503,7 +481,6 @@
         }
     }
 
-    /** Lets one call's result count for its route and its group. */
     private void recordResult(Call call, Result result, long retryAfter, long elapsed, LimitReport report) {
         Route route = call.route;
         LimitGroup group = route.group;
@@ -517,8 +494,7 @@
         switch (result) {
             case OK -> onServed(call, elapsed);
             case ERROR, TIMEOUT, CONNECT_FAILED, CANCELLED -> onFailed(call, 1);
-            // Guards against taking connections that break for a route that fails: that one refuses new ones.
-            case RESET -> onFailed(call, 0);
+            case RESET -> onFailed(call, 0); // healthy routes break connections too; failed ones refuse them
             case FULL -> onRefused(call, retryAfter);
             case CROWDED -> onCrowded(call);
             case NOT_SENT -> { }
@@ -552,17 +528,14 @@
         }
     }
 
-    /** Regrowth since a time, for a span that the serves seen speak for. */
     private double growthFactor(long since) {
         return Math.pow(1 + PACING_GROWTH_RATIO_PER_SECOND,
                 Math.min(MAX_GROWTH_SPAN_MICROS, now - since) / (double) MICROS_PER_SECOND);
     }
 
-    /**
-     * Quickly to what went before the last cut, then slowly, and less so the longer nothing is refused.
-     * Guards, by a bound for each serve, against a fleet of relays that call seldom: each would double its
-     * pace by one, and all would go above the limit together, again and again. Harms where a limit is back.
-     */
+    /** Grows quickly to near the last refused rate, then slowly, but faster the longer nothing is refused.
+     * The bound for each served call keeps relays that call rarely from doubling their rates by one call and
+     * exceeding the limit together, again and again. The price is slower growth once a limit is back. */
     private void growPacingRate(LimitGroup group) {
         double span = Math.min(MAX_GROWTH_SPAN_MICROS, now - group.lastGrownAt) / (double) MICROS_PER_SECOND;
         double secondsSinceCut = Math.min(now - group.lastCutAt,
@@ -587,7 +560,7 @@
         }
         boolean sentBeforeOpening = call.sentAt < circuit.openedAt;
         if (sentBeforeOpening && !circuit.openedBySilence) {
-            return;
+            return; // an answer to an older call only disproves silence
         }
         circuit.state = CircuitState.CLOSED;
         route.errorRate = 0;
@@ -604,7 +577,7 @@
         Route route = call.route;
         LimitGroup group = route.group;
         route.errorRate += MOVING_AVERAGE_WEIGHT * (1 - route.errorRate);
-        route.circuit.consecutiveFailures += weight;
+        route.circuit.consecutiveFailures += weight; // 0 for a broken connection
         boolean unhealthy = route.circuit.consecutiveFailures >= failuresToOpen(group)
                 || route.errorRate > UNHEALTHY_ERROR_RATIO;
         if (unhealthy || route.circuit.state != CircuitState.CLOSED && call.trial) {
@@ -622,12 +595,11 @@
             reportToCoordinator(group, PeerNoteType.CALL_FAILED);
         }
         if (isInSlowStart(group.slowStartedAt)) {
-            // Guards against release into an outage that goes on: a failure puts the release back.
-            group.slowStartedAt = now;
+            group.slowStartedAt = now; // the outage may go on: the slow start begins again
         }
     }
 
-    /** Leaves the connections to others for a while: a slower pace here would not free one. */
+    /** Leaves the connections to other relays for a while; a lower pacing rate would not free one. */
     private void onCrowded(Call call) {
         Route route = call.route;
         openIfInOutage(route.group, 0);
@@ -635,7 +607,7 @@
                 << Math.min(route.consecutiveCrowdedResults++, MAX_CONNECTION_BACKOFF_DOUBLINGS));
     }
 
-    /** Guards against a shut destination, which refuses like one above its limit but returns cold. */
+    /** A destination in an outage may refuse as if above its limit, but returns cold: it needs slow start. */
     private void openIfInOutage(LimitGroup group, long retryAfter) {
         if (group.consecutiveRefusals++ == 0) {
             group.refusedSince = now;
@@ -662,11 +634,9 @@
         reportToCoordinator(group, PeerNoteType.CALL_REFUSED);
     }
 
-    /**
-     * At first the limit over sender count, where one is known; then, or where none is, the part that was
-     * served of what went of late. Guards against a fleet that one refusal each brings far below a limit, or
-     * that stays above one, as no relay goes under its share while refused calls use the limit up.
-     */
+    /** The first cut goes to this relay's share of a known limit, others to the served part of the recent
+     * rate. Thus one refusal at each relay does not take the fleet far below the limit. Relays can go below
+     * their shares, as refused calls use up the limit too and the fleet would otherwise stay above it. */
     private void cutPacingRate(LimitGroup group) {
         double limit = fleetLimitPerSecond(group);
         double rate = Math.min(group.pacingRate, recentSendRate(group));
@@ -676,7 +646,7 @@
                 ? Math.max(limit / settings.fleetSize(), ratePerSecond(group.servedRate) / 2)
                 : Math.max(MIN_FLEET_CALLS_PER_SECOND / settings.fleetSize(),
                         rate * Math.max(MIN_PACING_CUT_RATIO, servedShare));
-        // Guards against a row of refusals after which nothing tells any more what had been served before it.
+        // In a run of refusals, only the highest rate still tells what was served before it.
         group.refusedPacingRate = group.servedSinceCut > 0 ? rate : Math.max(rate, group.refusedPacingRate);
         group.lastCutAt = now;
         group.lastGrownAt = now;
@@ -690,7 +660,7 @@
             circuit.openedBySilence = bySilence;
             if (circuit == group.circuit) {
                 if (!isInSlowStart(group.slowStartedAt)) {
-                    group.usualRate = ratePerSecond(group.sentRate);
+                    group.usualRate = ratePerSecond(group.sentRate); // a slow start shows no usual rate
                 }
                 String reason = bySilence ? ", silent" : "";
                 actions.log("out: " + group.routes.get(0).name + reason + " (failures in a row "
@@ -703,10 +673,8 @@
         circuit.openUntil = now + Math.max(retryAfter, trialDelayMicros(group));
     }
 
-    /**
-     * Guards against a fleet that tests a destination to death: a relay tests as often as its part of the
-     * calls lets a cold destination bear. Harms what is parked at one that calls rarely: it waits long.
-     */
+    /** A relay tries as often as its share of what a cold destination bears: the trials of a whole fleet
+     * could keep it down. The price: at a relay that calls it rarely, requests wait long. */
     private long trialDelayMicros(LimitGroup group) {
         long cap = settings.fleetSize() * TRIAL_SPACING_MICROS;
         return jitter(Math.max(MIN_OPEN_MICROS, Math.min(intervalMicros(slowStartRate(group, now)), cap)));
@@ -716,7 +684,7 @@
         return (long) (delay * (1 - JITTER_RATIO / 2 + JITTER_RATIO * random.nextDouble()));
     }
 
-    /** Who calls a destination rarely can't wait for three failures; a single error costs it a pause. */
+    /** Fewer where calls are rare, as three would take too long; the price: one error costs a pause. */
     private int failuresToOpen(LimitGroup group) {
         double recentCalls = ratePerSecond(group.sentRate) * RATE_TIME_CONSTANT_MICROS / MICROS_PER_SECOND;
         return (int) Math.max(1, Math.min(FAILURES_TO_OPEN, recentCalls / CALLS_PER_FAILURE));
@@ -725,14 +693,13 @@
     private void onProbeEnded(ProbeEnded e) {
         Route route = routes.get(e.route());
         if (route != null) {
-            // Guards against calls that follow a probe which was told to wait.
-            applyRetryAfter(route.group, e.retryAfterMicros());
+            applyRetryAfter(route.group, e.retryAfterMicros()); // calls must wait as well
             Call call = new Call(route, now - e.elapsedMicros(), true);
             recordResult(call, e.result(), e.retryAfterMicros(), e.elapsedMicros(), e.report());
         }
     }
 
-    /** Calls a second that the group takes from all relays, as reported or listed; 0 where unknown. */
+    /** Calls per second that the group takes from all relays, as reported or listed; 0 where unknown. */
     private double fleetLimitPerSecond(LimitGroup group) {
         double listedRate = group.routes.stream().filter(r -> r.listedInService)
                 .mapToDouble(r -> r.listedRatePerSecond).max().orElse(0);
@@ -740,10 +707,9 @@
         return group.reportedRate > 0 ? group.reportedRate : settings.rateHint() == RateHint.NONE ? 0 : hint;
     }
 
-    /** Events a second over the rate's span or so, or since they are counted. */
+    /** Events per second over about the rate's time constant, or since counting began if that is less. */
     private double ratePerSecond(DecayingRate rate) {
-        // Guards against a relay just started that takes the events of its first seconds for those of ten.
-        double span = rate.timeConstantMicros;
+        double span = rate.timeConstantMicros; // a relay just started has counted for less than this
         double observed = 1 - Math.exp(-Math.max(MIN_OBSERVED_SHARE * span, now - rate.countedSince) / span);
         return rate.count * Math.exp((rate.updatedAt - now) / span) * MICROS_PER_SECOND / span / observed;
     }
@@ -753,7 +719,7 @@
         rate.updatedAt = now;
     }
 
-    /** What a relay sends; one that calls seldom goes by ten seconds: the call just refused tells little. */
+    /** Calls sent per second of late; where few, over ten seconds, as the one just refused tells little. */
     private double recentSendRate(LimitGroup group) {
         double othersShare = Math.max(0, 1 - 1 / Math.max(1, group.recentSentRate.count));
         return Math.max(ratePerSecond(group.sentRate), ratePerSecond(group.recentSentRate) * othersShare);
@@ -763,17 +729,16 @@
         return now - since < settings.rules().warmUpMicros();
     }
 
-    /** How much of its usual calls a destination bears since its return: it warms up evenly. */
+    /** Share of its usual rate that a destination bears; it warms up evenly from its return. */
     private double slowStartFactor(long since) {
         double warmShare = (now - since) / (double) Math.max(1, settings.rules().warmUpMicros());
         double capacityShare = settings.rules().coldCapacityShare() * (1 - warmShare) + warmShare;
         return SLOW_START_MARGIN_RATIO * settings.rules().collapseLoadMultiple() * capacityShare;
     }
 
-    /** Calls a second of this relay that a group bears since its return. */
     private double slowStartRate(LimitGroup group, long since) {
         double usualRate = Math.max(group.usualRate, fleetLimitPerSecond(group) / settings.fleetSize());
-        return Math.max(MIN_FLEET_SLOW_START_PER_SECOND / settings.fleetSize(),
+        return Math.max(MIN_FLEET_SLOW_START_PER_SECOND / settings.fleetSize(), // this relay's share
                 slowStartFactor(since) * usualRate);
     }
 
@@ -787,16 +752,13 @@
         return (long) (MICROS_PER_SECOND / rate); // 0 where the rate is not bounded
     }
 
-    /** When a call is overdue by its route's own measure: it will hardly be answered any more. */
     private long overdueAt(Call call) {
-        return call.sentAt + capTimeoutMicros(
+        return call.sentAt + capTimeoutMicros( // an answer after that is unlikely
                 Math.max(MIN_OVERDUE_MICROS, OVERDUE_RATIO * expectedResponseMicros(call.route)));
     }
 
-    /**
-     * When a call is to leave its slot to others. Guards against single calls whose answer is lost: each
-     * holds a slot as long as a dozen others. A second attempt gets more time, as the work may be long.
-     */
+    /** When a call may lose its slot to a waiting request: with its answer lost, it would hold the slot as
+     * long as a dozen others. A second attempt gets more time, as the work may be long. */
     private long cancellableAt(Call call) {
         boolean lossy = areAnswersLost();
         if (!mayRetry(call)) {
@@ -808,16 +770,13 @@
                 CANCEL_AGE_RATIO * expectedResponseMicros(call.route)));
     }
 
-    /** True where another attempt may follow each first one of a call. */
     private static boolean mayRetry(Call call) {
-        return call.requests.stream()
+        return call.requests.stream() // each is on its first attempt and may have another
                 .allMatch(r -> r.requestClass.idempotency() != Idempotency.ONCE && r.attempts.size() == 1);
     }
 
-    /**
-     * Learns whether late answers still come. A call is lost, not slow, where its route has answered others
-     * since. Calls that go early while answers get lost tell nothing: theirs might have come.
-     */
+    /** An unanswered call is lost, not slow, if its route answered others since. One that may be cancelled
+     * early while answers get lost is not counted: its answer might have come. */
     private void countLateOrLostAnswer(Call call, Result result, long elapsed) {
         if (elapsed < CANCEL_AGE_RATIO * expectedResponseMicros(call.route)
                 || areAnswersLost() && mayRetry(call)) {
@@ -837,14 +796,14 @@
                 && lostRate > ratePerSecond(lateAnswerRate);
     }
 
-    /** True where a call has been out for such a part of its span and nothing has answered since. */
+    /** True if nothing was answered for this share of the time from the oldest call until it is overdue. */
     private boolean isSilent(Route route, double share) {
         Call oldest = route.callsInFlight.peek();
         return oldest != null && route.lastAnsweredAt <= oldest.sentAt
                 && now - oldest.sentAt >= share * (overdueAt(oldest) - oldest.sentAt);
     }
 
-    /** Guards against silence, which would cost three time-outs before the circuit opens. */
+    /** Saves the three time-outs that a silent route would cost before its circuit opens. */
     private void openIfSilent(Route route) {
         boolean enoughCalls = route.callsInFlight.size() >= Math.min(2, failuresToOpen(route.group));
         if (enoughCalls && route.circuit.state == CircuitState.CLOSED && isSilent(route, 1)) {
@@ -852,7 +811,7 @@
         }
     }
 
-    /** Expected response time; what has not been tried lately is taken as well again, so that it is tried. */
+    /** An idle route's old response time is ignored, so that the route is tried again. */
     private double expectedResponseMicros(Route route) {
         boolean stale = route.callsInFlight.isEmpty() && now - route.lastAnsweredAt > STALE_RESPONSE_MICROS;
         return route.responseMicros == 0 || stale ? INITIAL_RESPONSE_MICROS : route.responseMicros;
@@ -862,7 +821,7 @@
         return callsInFlight.size() > slotLimit() * SLOTS_SCARCE_FROM_SHARE;
     }
 
-    /** Guards against one destination, above all a slow one, that holds every slot. */
+    /** True if the group has its share of slots: one destination, above all a slow one, must not hold all. */
     private boolean exceedsSlotShare(LimitGroup group, Route route) {
         int slotCount = settings.limits().callSlots();
         boolean slow = route.responseMicros > SLOW_RESPONSE_MICROS / 2 || isSilent(route, 0.5);
@@ -871,7 +830,7 @@
         return group.callsInFlight >= (int) Math.ceil(slotCount * share);
     }
 
-    /** Guards against a drain that counts as told unheard: what has served since does not drain. */
+    /** False where a drain may have been missed, unless the route served a call sent since that time. */
     private boolean isInService(Route route) {
         return route.listedInService && now < inServiceUntil(route);
     }
@@ -907,7 +866,6 @@
         return zone.equals(settings.zone()) ? MAX_ZONE_BONUS : 0;
     }
 
-    /** True where the repeat rules let the request go to the route now. */
     private boolean isAllowedByRepeatRules(Request request, Route route) {
         Attempt first = firstPossiblyExecutedAttempt(request);
         if (first == null || request.requestClass.idempotency() == Idempotency.REPEATABLE) {
@@ -920,7 +878,7 @@
         };
     }
 
-    /** Until when another attempt may leave; that of a class which may take effect once is over at once. */
+    /** Until when the next attempt may leave; already past once a request of class ONCE may have executed. */
     private static long repeatableUntil(Request request) {
         Attempt first = request.requestClass.idempotency() == Idempotency.REPEATABLE ? null
                 : firstPossiblyExecutedAttempt(request);
@@ -933,7 +891,7 @@
         List<Route> allowed = new ArrayList<>(
                 usable.stream().filter(r -> isAllowedByRepeatRules(request, r)).toList());
         if (allowed.size() > 1) {
-            allowed.remove(request.lastRoute());
+            allowed.remove(request.lastRoute()); // a retry prefers another route
         }
         return drawRoute(allowed);
     }
@@ -945,11 +903,11 @@
         double sum = 0;
         for (int i = 0; i < scores.length; i++) {
             scores[i] = scores[i] < highest - MAX_SCORE_GAP ? 0 : scores[i] + 1;
-            // Guards against slots held by far routes, while near ones serve several calls in the same time.
+            // Slow routes would hold scarce slots while fast ones serve several calls in the same time.
             scores[i] /= areSlotsScarce() ? expectedResponseMicros(candidates.get(i)) : 1;
             sum += scores[i];
         }
-        double point = random.nextDouble() * sum;
+        double point = random.nextDouble() * sum; // a route's chance is proportional to its score
         int i = 0;
         while (i < scores.length - 1 && point >= scores[i]) {
             point -= scores[i++];
@@ -978,7 +936,7 @@
         waitingDestinations.forEach(this::requestTokens);
     }
 
-    /** Guards against calls whose answers are lost, which would hold every slot until their time is up. */
+    /** Frees as many slots as wanted; calls with lost answers would hold them all until their time-outs. */
     private void cancelOverdueCalls(int wanted) {
         if (wanted == 0 || !settings.limits().mayCancel()) {
             return;
@@ -1008,7 +966,7 @@
         Request best = null;
         double highestLoss = -1;
         for (Request request : destination.waiting) {
-            // What a restart has found goes first, by its end: it is owed a try, and older than the rest.
+            // Requests found at restart go first, by deadline: each is to be tried, and they are the oldest.
             double loss = request.resumedUntried ? Double.MAX_VALUE : lossFromWaiting(request, usable.get(0));
             boolean earlier = best != null && loss == highestLoss && request.deadline < best.deadline;
             if ((loss > highestLoss || earlier) && isNextForKey(request)
@@ -1023,10 +981,8 @@
         }
     }
 
-    /**
-     * What a request loses if others go first for a while. Where messages run out of time, one that waits is
-     * lost: saving the oldest each time would deliver all of them late.
-     */
+    /** Value lost if others go first for a while. Where requests expire, one that waits counts as lost:
+     * saving the oldest each time would deliver all of them late. */
     private double lossFromWaiting(Request request, Route route) {
         long answeredAt = now + (long) expectedResponseMicros(route);
         Destination destination = request.destination;
@@ -1037,22 +993,19 @@
                 - (overloaded ? 0 : valueAt(request, answeredAt + WAITING_HORIZON_MICROS));
     }
 
-    /** Guards against calls that can't be answered in time any more. */
     private boolean canBeAnsweredInTime(Request request, Route route) {
         return request.resumedUntried || request.deadline - now > expectedResponseMicros(route) / 2;
     }
 
-    /** Within pace; while all ask for turns, with a turn or after waiting for one in vain. */
+    /** Within the pacing rate and, while relays use tokens, with a token or after waiting for one in vain. */
     private boolean mayCallNow(LimitGroup group) {
         return now >= group.nextCallAt && (now >= group.coordinatedUntil || now < group.tokenValidUntil
                 || group.tokenRequested && !isAwaitingToken(group));
     }
 
-    /**
-     * Guards, where relays may send notes, against hundreds of relays that each see too little to keep a pace
-     * or to find an outage: trouble is told to the group's keeper, which all know by the group's number and
-     * which gives turns one at a time. A lost note, or a dead keeper, costs {@link #TOKEN_TIMEOUT_MICROS}.
-     */
+    /** Each of hundreds of relays sees too little to keep to a limit or to detect an outage. Where notes are
+     * allowed, they report to the group's coordinator, which all know by the group's number and which grants
+     * tokens one at a time. A lost note or a dead coordinator costs {@link #TOKEN_TIMEOUT_MICROS}. */
     private void reportToCoordinator(LimitGroup group, PeerNoteType type) {
         if (!settings.limits().mayNotifyPeers()) {
             return;
@@ -1114,11 +1067,11 @@
                 && (type != PeerNoteType.TOKEN_REQUEST || coordinator.waitingRelays.size() > 1)) {
             coordinator.announcedAt = now;
             group.coordinatedUntil = now + COORDINATION_MICROS;
-            sendPeerNote(-1, PeerNoteType.COORDINATION_START, group.number);
+            sendPeerNote(-1, PeerNoteType.COORDINATION_START, group.number); // to all relays
         }
     }
 
-    /** Gives the turns that are due: tests while a destination fails, then as many as it bears. */
+    /** Grants the tokens that are due: for trials while the destination fails, then at the rate it bears. */
     private void grantTokens(LimitGroup group) {
         TokenCoordinator coordinator = group.coordinator;
         while (!coordinator.waitingRelays.isEmpty() && now >= coordinator.nextTokenAt) {
@@ -1167,7 +1120,7 @@
         for (Route route : destination.routes.values()) {
             boolean groupTripped = route.group.circuit.state != CircuitState.CLOSED;
             CircuitBreaker circuit = groupTripped ? route.group.circuit : route.circuit;
-            // Guards against a group that is tested again and again by its one dead route.
+            // One dead route must not be tried again and again on behalf of its whole group.
             boolean hasBetter = groupTripped && route.group.routes.stream().anyMatch(r -> r.listedInService
                     && r.circuit.consecutiveFailures < route.circuit.consecutiveFailures);
             if (isInService(route) && !hasBetter && isReadyForTrial(circuit)
@@ -1178,16 +1131,15 @@
     }
 
     private void sendTrial(Destination destination, Route route, CircuitBreaker circuit) {
-        // Guards against a test that only tells that its message's time was up.
         Request chosen = destination.waiting.stream()
                 .filter(r -> isNextForKey(r) && isAllowedByRepeatRules(r, route)
-                        && r.deadline - now >= trialTimeoutMicros(r, route))
+                        && r.deadline - now >= trialTimeoutMicros(r, route)) // or its time-out tells nothing
                 .min(Comparator.comparingInt(DeliveryPolicy::trialCost)).orElse(null);
         if (chosen == null) {
             return;
         }
         circuit.trialInFlight = true;
-        // Guards against a test in vain that leaves a request with nowhere to go.
+        // A request that may not be repeated elsewhere would have no route left after a failed trial.
         if (!isRepeatableAnywhere(chosen.requestClass) && settings.limits().mayProbe()) {
             countEvent(route.group.sentRate);
             actions.sendProbe(route.name);
@@ -1196,7 +1148,7 @@
         }
     }
 
-    /** Tests go by the request that loses least by an attempt in vain. */
+    /** Lowest for the request that loses least by a failed attempt. */
     private static int trialCost(Request request) {
         int cost = request.requestClass.idempotency().ordinal() * 100 + request.attempts.size();
         return cost + (firstPossiblyExecutedAttempt(request) == null ? 0 : 50);
@@ -1214,7 +1166,7 @@
                 + intervalMicros(effectivePacingRate(route.group));
         addToCall(request, call);
         DestinationKind kind = kinds.get(route.kind);
-        int maxAdded = trial || kind == null ? 0 : kind.maxBatchSize() - 1;
+        int maxAdded = trial || kind == null ? 0 : kind.maxBatchSize() - 1; // a trial carries one request
         if (maxAdded > 0) {
             for (Request other : List.copyOf(request.destination.waiting)) {
                 if (call.pendingAttempts <= maxAdded && isNextForKey(other)
@@ -1240,19 +1192,19 @@
         boolean lastAttempt = request.requestClass.idempotency() == Idempotency.ONCE
                 || request.attempts.size() >= request.maxAttempts;
         if (lastAttempt) {
-            return 0;
+            return 0; // until the deadline
         }
         double timeout = Math.max(MIN_TIMEOUT_MICROS, OVERDUE_RATIO * expectedResponseMicros(call.route));
         return call.trial || isCircuitTripped(call.route) ? trialTimeoutMicros(call.route)
                 : (long) Math.min(timeout, MAX_TIMEOUT_SHARE * request.requestClass.timeLimitMicros());
     }
 
-    /** Guards against spans that no message has: no circuit would open by silence, nor close by a test. */
+    /** Beyond the time that requests have, silence could open no circuit and no trial could close one. */
     private long capTimeoutMicros(double timeout) {
         return (long) Math.min(timeout, MAX_TIMEOUT_SHARE * longestTimeLimitMicros);
     }
 
-    /** Guards against a destination that gets only brief messages of a mixed lot: none opens or tests it. */
+    /** Shorter for brief requests: if a destination gets no others, they must open and test its circuit. */
     private long trialTimeoutMicros(Request request, Route route) {
         return Math.min(trialTimeoutMicros(route), request.requestClass.timeLimitMicros() / 2);
     }
@@ -1283,10 +1235,7 @@
         List.copyOf(routes.values()).forEach(this::forgetIfUnlisted);
     }
 
-    /**
-     * Guards against a list that changes all day: a route is forgotten once it is in no list, no call to it
-     * is out and no wait that it told runs. Requests keep what they need of it.
-     */
+    /** A list that changes all day must not fill the memory; requests keep what they need of a route. */
     private void forgetIfUnlisted(Route route) {
         LimitGroup group = route.group;
         if (route.inRouteList || !route.callsInFlight.isEmpty() || now < group.retryAfterUntil) {
@@ -1356,7 +1305,7 @@
         }
     }
 
-    /** When the route may be used or tested next, if only time stands in the way. */
+    /** When the route may next be called or tried, if it waits only for time; else {@code Long.MAX_VALUE}. */
     private long usableOrTrialAt(Route route) {
         LimitGroup group = route.group;
         long tokenWaitUntil = Math.min(group.coordinatedUntil,
