--- a/src/test/java/drumdeal/relay/AdminTest.java
+++ b/src/test/java/drumdeal/relay/AdminTest.java
@@ -77,7 +77,8 @@
 
     @Test
     void figuresCountHowMessagesEndFromTheStartOn() throws IOException {
-        host.respondWith(request -> request.callId().startsWith("u") ? StubPeer.CLOSE_CONNECTION : respondWithStatus(200));
+        host.respondWith(request -> request.callId().startsWith("u") ? StubPeer.CLOSE_CONNECTION
+                : respondWithStatus(200));
         relay.start();
         relay.submit("s1", "safe", 7);
         relay.submit("s2", "safe", 7);
--- a/src/test/java/drumdeal/relay/DeadlineMarginTest.java
+++ b/src/test/java/drumdeal/relay/DeadlineMarginTest.java
@@ -59,6 +59,7 @@
     }
 
     private static RequestTerms terms(long goal, long deadline) {
-        return new RequestTerms(new RequestClass("c", Idempotency.ONCE, KeyScope.ALL, 0, goal, deadline, 1, 0.3, false), 12);
+        return new RequestTerms(
+                new RequestClass("c", Idempotency.ONCE, KeyScope.ALL, 0, goal, deadline, 1, 0.3, false), 12);
     }
 }
--- a/src/test/java/drumdeal/relay/JournalTest.java
+++ b/src/test/java/drumdeal/relay/JournalTest.java
@@ -24,7 +24,8 @@
     Path folder;
 
     private static Message createMessage(long number, int bytes) {
-        return new Message(number, new Message.Content("id" + number, "safe", "acme", null, 123, 7, new byte[bytes]), null);
+        return new Message(number,
+                new Message.Content("id" + number, "safe", "acme", null, 123, 7, new byte[bytes]), null);
     }
 
     private List<Message> readAfterReopening() throws IOException {
@@ -69,7 +70,8 @@
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             Message first = createMessage(1, 10);
             Message second = createMessage(2, 0);
-            assertTrue(journal.recordAccepted(first) && journal.recordAccepted(second) && journal.recordAccepted(createMessage(3, 0)));
+            assertTrue(journal.recordAccepted(first) && journal.recordAccepted(second)
+                    && journal.recordAccepted(createMessage(3, 0)));
             Message.Attempt refused = first.addAttempt("r1", 50);
             assertTrue(journal.recordAttempt(refused));
             refused.result = Result.FULL;
@@ -138,7 +140,8 @@
         assertTrue(refused > 100, "refused: " + refused);
         // During a rewrite the new segment, no larger than what is open, stands beside the old one.
         assertTrue(most < 0.5 * DISK_LIMIT_BYTES, "most on disk: " + most);
-        assertEquals(held.stream().map(m -> m.number).toList(), readAfterReopening().stream().map(m -> m.number).toList());
+        assertEquals(held.stream().map(m -> m.number).toList(),
+                readAfterReopening().stream().map(m -> m.number).toList());
     }
 
     @Test
--- a/src/test/java/drumdeal/relay/LargeDeploymentTest.java
+++ b/src/test/java/drumdeal/relay/LargeDeploymentTest.java
@@ -35,7 +35,9 @@
             return respondWithStatus(204);
         }
         String told = nextListUpdate.getAndSet(null);
-        return told == null ? request.requestLine().contains("after=") ? StubPeer.NO_RESPONSE : respondWithStatus(503) : respondWith(200, told);
+        return told == null
+                ? request.requestLine().contains("after=") ? StubPeer.NO_RESPONSE : respondWithStatus(503)
+                : respondWith(200, told);
     }
 
     private static String[] targetsJson(IntFunction<String> each) {
@@ -48,15 +50,16 @@
 
     @Test
     void thousandServersAreKnownAtTheStartAndDrainInOneChange() throws IOException {
-        nextListUpdate.set(targetListJson(2, false, targetsJson(i -> targetJson(i == 0 ? "h1" : "known" + i, i == 0 ? 7 : 100 + i, "one",
-                "terminating", host.address()))));
+        nextListUpdate.set(targetListJson(2, false, targetsJson(i -> targetJson(
+                i == 0 ? "h1" : "known" + i, i == 0 ? 7 : 100 + i, "one", "terminating", host.address()))));
         relay.start();
         awaitMembers(ENDPOINT_COUNT, ENDPOINT_COUNT);
     }
 
     @Test
     void wholeListOfAThousandServersReplacesAsMany() throws IOException {
-        nextListUpdate.set(targetListJson(2, true, targetsJson(i -> targetJson("new" + i, 2000 + i, "one", "in_service", host.address()))));
+        nextListUpdate.set(targetListJson(2, true, targetsJson(i -> targetJson(
+                "new" + i, 2000 + i, "one", "in_service", host.address()))));
         relay.start();
         await(() -> relay.log().contains("discovery: version 2, " + ENDPOINT_COUNT + " entries"));
         awaitMembers(ENDPOINT_COUNT, 0);
--- a/src/test/java/drumdeal/relay/NoticeSenderTest.java
+++ b/src/test/java/drumdeal/relay/NoticeSenderTest.java
@@ -30,7 +30,8 @@
         for (String id : List.of("a", "b", "c")) {
             assertEquals(202, relay.submit(id, "unsafe", 7));
         }
-        await(() -> relay.hasSentNotice("a", "dead") && relay.hasSentNotice("b", "dead") && relay.hasSentNotice("c", "dead"));
+        await(() -> relay.hasSentNotice("a", "dead") && relay.hasSentNotice("b", "dead")
+                && relay.hasSentNotice("c", "dead"));
         assertEquals(3, relay.readOpenMessages().size(), "what was not heard is still owed");
         answerNotices(request -> respondWithStatus(204));
         await(() -> relay.readOpenMessages().isEmpty());
--- a/src/test/java/drumdeal/relay/RelayProcess.java
+++ b/src/test/java/drumdeal/relay/RelayProcess.java
@@ -55,8 +55,8 @@
 
     /** Discovery that tells no news and takes every notice. */
     static StubPeer discoveryWithoutChanges() throws IOException {
-        return new StubPeer(request -> request.requestLine().startsWith("POST /status") ? StubPeer.respondWithStatus(204)
-                : StubPeer.NO_RESPONSE);
+        return new StubPeer(request -> request.requestLine().startsWith("POST /status")
+                ? StubPeer.respondWithStatus(204) : StubPeer.NO_RESPONSE);
     }
 
     RelayProcess addTarget(String uid, int destination, String kind, StubPeer host) {
@@ -114,10 +114,12 @@
     }
 
     private void writeConfiguration() throws IOException {
-        Files.writeString(configurationFile(), configurationEdit.apply("{\"name\":\"n0\",\"listen\":\"" + listenAddress + "\",\"discovery\":\""
-                + discovery.address() + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,"
+        Files.writeString(configurationFile(), configurationEdit.apply("{\"name\":\"n0\",\"listen\":\"" + listenAddress
+                + "\",\"discovery\":\"" + discovery.address()
+                + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,"
                 + "\"memory_mb\":192,\"sockets\":256,\"disk_mb\":" + diskLimitMb + "},\"known\":"
-                + targetListJson(1, true, targets.toArray(String[]::new)) + ",\"settings\":" + SETTINGS_TEMPLATE.replace("PERIOD", roundPeriodSeconds) + "}"));
+                + targetListJson(1, true, targets.toArray(String[]::new))
+                + ",\"settings\":" + SETTINGS_TEMPLATE.replace("PERIOD", roundPeriodSeconds) + "}"));
     }
 
     /** Discovery is at another place from now on; the relay hears of it by SIGHUP. */
@@ -162,9 +164,11 @@
     void startWithoutWaiting() throws IOException {
         writeConfiguration();
         log = folder.resolve(logNamePrefix + startCount++);
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + descriptorLimit + " && exec \"$0\" \"$@\"",
+        ProcessBuilder builder = new ProcessBuilder("sh", "-c",
+                "ulimit -n " + descriptorLimit + " && exec \"$0\" \"$@\"",
                 Path.of(System.getProperty("java.home"), "bin/java").toString(),
-                "-XX:TieredStopAtLevel=1", "-Xmx24m", "-XX:+ExitOnOutOfMemoryError", "-cp", System.getProperty("java.class.path"), Main.class.getName(),
+                "-XX:TieredStopAtLevel=1", "-Xmx24m", "-XX:+ExitOnOutOfMemoryError",
+                "-cp", System.getProperty("java.class.path"), Main.class.getName(),
                 "serve").redirectErrorStream(true).redirectOutput(log.toFile());
         builder.environment().put("EDGE_CONFIG", configurationFile().toString());
         builder.environment().put("EDGE_STATE", stateFolder().toString());
--- a/src/test/java/drumdeal/relay/ReloadTest.java
+++ b/src/test/java/drumdeal/relay/ReloadTest.java
@@ -35,7 +35,8 @@
         String same = targetJson("h1", 7, "one", "in_service", host.address()).replace("1.0", "2.0");
         try (StubPeer second = createDiscovery(targetListJson(1, true, same));
                 StubPeer other = StubPeer.always(respondWithStatus(200));
-                StubPeer third = createDiscovery(targetListJson(0, true, targetJson("h2", 7, "one", "in_service", other.address())))) {
+                StubPeer third = createDiscovery(targetListJson(0, true,
+                        targetJson("h2", 7, "one", "in_service", other.address())))) {
             relay.moveDiscovery(second);
             await(() -> second.countRequests("GET /api/targets?after=1&") > 0);
             assertEquals(202, relay.submit("m1", "safe", 7));
@@ -58,7 +59,8 @@
                         return StubPeer.NO_RESPONSE;
                     }
                     sleep(1000);
-                    return respondWith(200, targetListJson(1, true, targetJson("h2", 7, "one", "in_service", other.address())));
+                    return respondWith(200, targetListJson(1, true,
+                            targetJson("h2", 7, "one", "in_service", other.address())));
                 })) {
             relay.moveDiscovery(next);
             await(() -> next.countRequests("GET /api/targets?after=1&") > 0);
--- a/src/test/java/drumdeal/relay/RequestClassRegistryTest.java
+++ b/src/test/java/drumdeal/relay/RequestClassRegistryTest.java
@@ -29,16 +29,20 @@
     }
 
     private static RequestClassRegistry createChangedClasses() {
-        RequestClassRegistry classes = new RequestClassRegistry(settings(12, requestClass("c", Idempotency.ONCE), requestClass("gone", Idempotency.ONCE)));
-        classes.update(settings(4, requestClass("c", Idempotency.REPEATABLE), requestClass("new", Idempotency.BY_KEY)), 100_000);
+        RequestClassRegistry classes = new RequestClassRegistry(
+                settings(12, requestClass("c", Idempotency.ONCE), requestClass("gone", Idempotency.ONCE)));
+        classes.update(settings(4, requestClass("c", Idempotency.REPEATABLE), requestClass("new", Idempotency.BY_KEY)),
+                100_000);
         return classes;
     }
 
     @Test
     void changedClassIsHeldToBothRulesUntilClientsKnow() {
-        assertEquals(Idempotency.ONCE, createChangedClasses().termsFor(content("c", null), 100_001).requestClass().idempotency());
+        assertEquals(Idempotency.ONCE,
+                createChangedClasses().termsFor(content("c", null), 100_001).requestClass().idempotency());
         assertEquals(4, createChangedClasses().termsFor(content("c", null), 100_001).maxAttempts());
-        assertEquals(Idempotency.REPEATABLE, createChangedClasses().termsFor(content("c", null), AFTER_CHANGEOVER_MICROS).requestClass().idempotency());
+        assertEquals(Idempotency.REPEATABLE, createChangedClasses().termsFor(content("c", null), AFTER_CHANGEOVER_MICROS)
+                .requestClass().idempotency());
     }
 
     @Test
@@ -56,7 +60,8 @@
 
     @Test
     void whoHasNoKeyYetIsTakenOnAsOneThatIsSentOnce() {
-        RequestClassRegistry classes = new RequestClassRegistry(settings(12, requestClass("c", Idempotency.REPEATABLE)));
+        RequestClassRegistry classes = new RequestClassRegistry(
+                settings(12, requestClass("c", Idempotency.REPEATABLE)));
         classes.update(settings(12, requestClass("c", Idempotency.BY_KEY)), 100_000);
         assertEquals(Idempotency.ONCE, classes.termsFor(content("c", null), 100_001).requestClass().idempotency());
         assertEquals(Idempotency.BY_KEY, classes.termsFor(content("c", "k"), 100_001).requestClass().idempotency());
@@ -65,8 +70,8 @@
 
     @Test
     void classWhoseGoalIsCloseToItsDeadlineIsTaken() {
-        RequestClassRegistry classes = new RequestClassRegistry(settings(12, new Policy.RequestClass("close", Idempotency.ONCE, KeyScope.ALL, 0, 9_500_000, 10_000_000, 1, 0.3,
-                false)));
+        RequestClassRegistry classes = new RequestClassRegistry(settings(12, new Policy.RequestClass(
+                "close", Idempotency.ONCE, KeyScope.ALL, 0, 9_500_000, 10_000_000, 1, 0.3, false)));
         assertEquals(10_000_000, classes.termsFor(content("close", null), 0).requestClass().timeLimitMicros());
     }
 }
--- a/src/test/java/drumdeal/relay/RestartTest.java
+++ b/src/test/java/drumdeal/relay/RestartTest.java
@@ -94,7 +94,8 @@
         List<String> untried = relay.readOpenMessages().stream().filter(m -> m.attempts.isEmpty())
                 .map(m -> m.content.callId()).toList();
         assertTrue(untried.size() >= 20, "untried " + untried.size());
-        discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204) : respondWithStatus(503));
+        discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204)
+                : respondWithStatus(503));
         host.respondWith(request -> respondWithStatus(200));
         relay.editConfiguration(text -> text.replaceFirst("\"targets\":\\[.*?\\]", "\"targets\":[]")).start();
         await(() -> relay.log().contains("discovery: no list"));
@@ -130,7 +131,8 @@
         await(() -> relay.hasSentNotice("n1", "dead"));
         relay.kill();
         discovery.requests.clear();
-        discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204) : StubPeer.NO_RESPONSE);
+        discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204)
+                : StubPeer.NO_RESPONSE);
         relay.start();
         await(() -> relay.hasSentNotice("n1", "dead"));
         assertEquals(1, host.requests.size());
@@ -149,7 +151,8 @@
             for (int i = 0; i < 90; i++) {
                 Socket socket = relay.connect();
                 crowd.add(socket);
-                socket.getOutputStream().write(RelayProcess.messageRequest("c" + i, "safe", 7, 20_000, "hello").getBytes());
+                socket.getOutputStream()
+                        .write(RelayProcess.messageRequest("c" + i, "safe", 7, 20_000, "hello").getBytes());
             }
             Thread.sleep(3500);
             relay.resume();
--- a/src/test/java/drumdeal/relay/RouteStateFileTest.java
+++ b/src/test/java/drumdeal/relay/RouteStateFileTest.java
@@ -27,7 +27,8 @@
     @Test
     void whatWasWrittenIsRead() throws IOException {
         writeRouteStateFile();
-        assertArrayEquals(LEARNED, RouteStateFile.read(folder, NOW_MICROS + RouteStateFile.MAX_AGE_MICROS, DISK_LIMIT_BYTES));
+        assertArrayEquals(LEARNED,
+                RouteStateFile.read(folder, NOW_MICROS + RouteStateFile.MAX_AGE_MICROS, DISK_LIMIT_BYTES));
     }
 
     @Test
--- a/src/test/java/drumdeal/relay/UnansweredNoticeTest.java
+++ b/src/test/java/drumdeal/relay/UnansweredNoticeTest.java
@@ -17,7 +17,8 @@
     /** After its time a message that nobody has heard of is lost. */
     private static final long NOTICE_DEADLINE_MILLIS = 300;
 
-    private record NoticeCall(long sentAtMillis, String body, long timeoutMillis, AgentClient.ResponseHandler callback) { }
+    private record NoticeCall(long sentAtMillis, String body, long timeoutMillis,
+            AgentClient.ResponseHandler callback) { }
 
     private final EmbeddedChannel embeddedChannel = new EmbeddedChannel();
     private final List<NoticeCall> calls = new ArrayList<>();
@@ -30,7 +31,8 @@
         embeddedChannel.freezeTime();
         notices = new NoticeSender(embeddedChannel.eventLoop(), new Discovery.Agent() {
             @Override
-            public void request(HttpMethod method, String path, String body, long timeoutMs, AgentClient.ResponseHandler answer) {
+            public void request(HttpMethod method, String path, String body, long timeoutMs,
+                    AgentClient.ResponseHandler answer) {
                 calls.add(new NoticeCall(nowMillis, body, timeoutMs, answer));
             }
 
@@ -75,7 +77,8 @@
         endMessage("ccc");
         timeOutLastCall();
         timeOutLastCall();
-        assertTrue(lastCall().sentAtMillis() < NOTICE_DEADLINE_MILLIS - 50, "told again after ms: " + lastCall().sentAtMillis());
+        assertTrue(lastCall().sentAtMillis() < NOTICE_DEADLINE_MILLIS - 50,
+                "told again after ms: " + lastCall().sentAtMillis());
         assertEquals(3, lastCall().body().lines().count(), lastCall().body());
         lastCall().callback().handle(204, "");
         assertEquals(3, acknowledged.size());
--- a/src/test/java/drumdeal/relay/UpgradeTest.java
+++ b/src/test/java/drumdeal/relay/UpgradeTest.java
@@ -46,7 +46,8 @@
         host.respondWith(request -> respondWithStatus(200));
         relay.start();
         try (Socket kept = relay.connect()) {
-            assertEquals(202, RelayProcess.exchange(kept, RelayProcess.messageRequest("a1", "safe", 7, 9000, "x")).status());
+            assertEquals(202,
+                    RelayProcess.exchange(kept, RelayProcess.messageRequest("a1", "safe", 7, 9000, "x")).status());
             successor = relay.createSuccessor().start();
             assertEquals(200, successor.sendAdminRequest("GET", "/healthcheck"));
             assertEquals(-1, kept.getInputStream().read(), "the kept connection closes");
@@ -90,7 +91,8 @@
         });
         relay.start();
         assertEquals(202, relay.submit("w1", "unsafe", 7));
-        await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream()).anyMatch(a -> a.result != null));
+        await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream())
+                .anyMatch(a -> a.result != null));
         host.respondWith(request -> respondWithStatus(200));
         successor = relay.createSuccessor().start();
         assertTrue(relay.waitForExit());
@@ -129,7 +131,8 @@
         writeFrame(older, Handover.FrameType.TAKEOVER_REQUEST, out -> out.writeInt(Handover.VERSION));
     }
 
-    private static void writeFrame(SocketChannel older, Handover.FrameType word, Handover.PayloadWriter payload) throws IOException {
+    private static void writeFrame(SocketChannel older, Handover.FrameType word, Handover.PayloadWriter payload)
+            throws IOException {
         byte[] frame = Handover.toBytes(out -> {
             out.writeByte(word.ordinal());
             payload.write(out);
@@ -151,7 +154,8 @@
         host.respondWith(request -> respondWithStatus(429, "X-Come-Back-Ms: 60000"));
         relay.start();
         assertEquals(202, relay.submit("m0", "safe", 7));
-        await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream()).anyMatch(a -> a.result != null));
+        await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream())
+                .anyMatch(a -> a.result != null));
         for (int i = 1; i <= 20; i++) {
             assertEquals(202, relay.submit("m" + i, "safe", 7));
         }
