--- a/src/test/java/drumdeal/relay/AdminTest.java
+++ b/src/test/java/drumdeal/relay/AdminTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void callsThatAreNoneOfItsOwnAreTurnedDown() throws IOException {
+    void unknownPathsWrongMethodsAndMalformedRequestsAreRejected() throws IOException {
         relay.start();
         assertEquals(200, relay.sendAdminRequest("GET", "/healthcheck"));
         assertEquals(404, relay.sendAdminRequest("GET", "/nosuch"));
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void callersThatSayNothingOrHalfACallDoNotKeepOthersOut() throws IOException {
+    void idleAndIncompleteConnectionsDoNotBlockOthers() throws IOException {
         relay.start();
         List<Socket> idle = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void doorAnswersWhileClientsTakeAllTheirDescriptors() throws IOException {
+    void adminServerAnswersWhileClientsUseAllTheirDescriptors() throws IOException {
         relay.start();
         List<Socket> crowd = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void figuresCountHowMessagesEndFromTheStartOn() throws IOException {
+    void statsCountHowMessagesEndedSinceTheStart() throws IOException {
         host.respondWith(request -> request.callId().startsWith("u") ? StubPeer.CLOSE_CONNECTION
                 : respondWithStatus(200));
         relay.start();
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void endpointThatRefusesConnectionsIsUnavailable() throws IOException {
+    void endpointThatRefusesConnectionsIsCountedAsUnavailable() throws IOException {
         host.close();
         relay.start();
         assertTrue(relay.fetchStats().contains("\"members_unavailable\":0"));
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void emptiedRelaySendsClientsAwayUntilItTakesThemAgain() throws IOException {
+    void drainingRelayTurnsClientsAwayUntilDrainingIsStopped() throws IOException {
         relay.start();
         try (Socket kept = relay.connect()) {
             assertEquals(200, RelayProcess.exchange(kept, READY_REQUEST).status());
--- a/src/test/java/drumdeal/relay/DeadlineMarginTest.java
+++ b/src/test/java/drumdeal/relay/DeadlineMarginTest.java
@@ -17,20 +17,20 @@
     private final DeadlineMargin margin = new DeadlineMargin();
 
     @Test
-    void coversAStallOfTwoSecondsWhereThereIsTime() {
+    void marginCoversAStallOfTwoSecondsWhenTimeAllows() {
         assertEquals(2 * SECOND, margin.marginFor(NOW_MICROS, 11 * SECOND));
         assertEquals(2 * SECOND, margin.marginFor(NOW_MICROS, 28 * SECOND));
     }
 
     @Test
-    void leavesThreeQuartersOfAShortTimeToTheMessage() {
+    void marginTakesAtMostAQuarterOfTheTimeLeft() {
         assertEquals(750_000, margin.marginFor(NOW_MICROS, 3 * SECOND));
         assertEquals(0, margin.marginFor(NOW_MICROS, 0));
         assertEquals(0, margin.marginFor(NOW_MICROS, -SECOND));
     }
 
     @Test
-    void followsALongerStallForAWhile() {
+    void marginFollowsALongerStallForTheRetentionTime() {
         margin.recordStall(NOW_MICROS, 4 * SECOND);
         margin.recordStall(NOW_MICROS + SECOND, SECOND);
         assertEquals(4 * SECOND, margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS, 28 * SECOND));
@@ -39,21 +39,21 @@
     }
 
     @Test
-    void shorterStallCountsOnceALongerOneIsForgotten() {
+    void shorterStallCountsOnceALongerOneHasExpired() {
         margin.recordStall(NOW_MICROS, 5 * SECOND);
         margin.recordStall(NOW_MICROS + STALL_RETENTION_MICROS + 1, 3 * SECOND);
         assertEquals(3 * SECOND, margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS + 2, 28 * SECOND));
     }
 
     @Test
-    void messageIsNoOlderForItsMargin() {
+    void timeLimitIsShortenedByTheMargin() {
         RequestTerms shorter = DeadlineMargin.shortenDeadline(terms(2 * SECOND, 20 * SECOND), 2 * SECOND);
         assertEquals(18 * SECOND, shorter.requestClass().timeLimitMicros());
         assertEquals(12, shorter.maxAttempts());
     }
 
     @Test
-    void classWhoseGoalIsCloseToItsDeadlineKeepsIt() {
+    void timeLimitStaysAboveAGoalCloseToIt() {
         RequestTerms shorter = DeadlineMargin.shortenDeadline(terms(19 * SECOND, 20 * SECOND), 2 * SECOND);
         assertEquals(19 * SECOND + 1, shorter.requestClass().timeLimitMicros());
     }
--- a/src/test/java/drumdeal/relay/JournalTest.java
+++ b/src/test/java/drumdeal/relay/JournalTest.java
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void endsHaveRoomWhereAttemptsHaveNone() throws IOException {
+    void endRecordsFitWhereAttemptRecordsNoLongerDo() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             List<Message> messages = new java.util.ArrayList<>();
             for (int i = 1; i <= 100; i++) {
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void everythingRecordedComesBack() throws IOException {
+    void allRecordsAreReplayed() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             Message first = createMessage(1, 10);
             Message second = createMessage(2, 0);
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void tornTailIsCutOffAndWritingGoesOn() throws IOException {
+    void tornTailIsTruncatedAndWritingContinues() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             journal.recordAccepted(createMessage(1, 10));
             journal.recordAccepted(createMessage(2, 1000));
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void recordWithAWrongChecksumIsCutOff() throws IOException {
+    void recordWithAWrongChecksumIsTruncated() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             journal.recordAccepted(createMessage(1, 10));
         }
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void folderStaysUnderItsLimitWithTheLargestBodies() throws IOException {
+    void folderStaysBelowItsLimitWithTheLargestBodies() throws IOException {
         ArrayDeque<Message> held = new ArrayDeque<>();
         int refused = 0;
         long most = 0;
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void otherFilesAreLeftTheirRoom() throws IOException {
+    void spaceReservedForOtherFilesStaysFree() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             journal.reserveForOtherFiles(DISK_LIMIT_BYTES / 2);
             for (int number = 1; number <= 100; number++) {
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void attemptThatCouldNotBeRecordedLeavesTheOthersTheirNumbers() throws IOException {
+    void laterAttemptsKeepTheirNumbersWhenOneCouldNotBeRecorded() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             Message message = createMessage(1, 10);
             journal.recordAccepted(message);
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void resultOfAnAttemptThatCouldNotBeRecordedCutsNothingOff() throws IOException {
+    void resultOfAnUnrecordedAttemptDoesNotEndTheReplay() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             Message message = createMessage(1, 10);
             journal.recordAccepted(message);
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void unfinishedRewriteIsPassedOver() throws IOException {
+    void unfinishedCompactionIsIgnoredAndDeleted() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             journal.recordAccepted(createMessage(1, 10));
         }
@@ -193,7 +193,7 @@
     }
 
     @Test
-    void messageIsNotTakenOnWhereTheDiskIsFull() throws IOException {
+    void messageIsNotAcceptedWhenTheDiskIsFull() throws IOException {
         Path full = Path.of("/dev/full");
         assumeTrue(Files.exists(full));
         Files.createSymbolicLink(folder.resolve("journal-0000000000.log"), full);
--- a/src/test/java/drumdeal/relay/LargeDeploymentTest.java
+++ b/src/test/java/drumdeal/relay/LargeDeploymentTest.java
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void thousandServersAreKnownAtTheStartAndDrainInOneChange() throws IOException {
+    void thousandConfiguredEndpointsDrainInOneUpdate() throws IOException {
         nextListUpdate.set(targetListJson(2, false, targetsJson(i -> targetJson(
                 i == 0 ? "h1" : "known" + i, i == 0 ? 7 : 100 + i, "one", "terminating", host.address()))));
         relay.start();
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void wholeListOfAThousandServersReplacesAsMany() throws IOException {
+    void fullListOfAThousandEndpointsReplacesAsMany() throws IOException {
         nextListUpdate.set(targetListJson(2, true, targetsJson(i -> targetJson(
                 "new" + i, 2000 + i, "one", "in_service", host.address()))));
         relay.start();
@@ -68,14 +68,14 @@
     }
 
     @Test
-    void newSettingsWithAThousandServersAreTaken() throws IOException {
+    void reloadWithAThousandEndpointsIsApplied() throws IOException {
         relay.start();
         relay.reconfigure(text -> text);
         await(() -> relay.log().contains("new settings"));
     }
 
     @Test
-    void whatWasLearnedOfAThousandServersOutlastsAKill() throws IOException {
+    void learnedStateOfAThousandEndpointsIsReadAfterAKill() throws IOException {
         relay.start();
         awaitMembers(ENDPOINT_COUNT, 0);
         FileTime before = FileTime.fromMillis(System.currentTimeMillis());
--- a/src/test/java/drumdeal/relay/LogTest.java
+++ b/src/test/java/drumdeal/relay/LogTest.java
@@ -8,7 +8,7 @@
 
 class LogTest {
     @Test
-    void floodOfLinesIsCutShort() {
+    void linesPerSecondAreLimited() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         PrintStream before = System.err;
         System.setErr(new PrintStream(bytes, true));
--- a/src/test/java/drumdeal/relay/NoticeSenderTest.java
+++ b/src/test/java/drumdeal/relay/NoticeSenderTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void noticesThatWaitedForAnAnswerAreAllHeardAfterIt() throws IOException {
+    void pendingNoticesAreAllAcknowledgedOnceThePlatformAnswers() throws IOException {
         answerNotices(request -> StubPeer.NO_RESPONSE);
         relay.start();
         for (String id : List.of("a", "b", "c")) {
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void noticeThatIsNotUnderstoodHoldsUpNoOther() throws IOException {
+    void rejectedNoticeDoesNotHoldUpOthers() throws IOException {
         answerNotices(request -> respondWithStatus(503));
         relay.start();
         for (String id : List.of("a", "odd", "c")) {
--- a/src/test/java/drumdeal/relay/ReloadTest.java
+++ b/src/test/java/drumdeal/relay/ReloadTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void hangUpMovesTheWatchAgainAndAgain() throws IOException {
+    void eachReloadSwitchesToTheNewDiscoveryAddress() throws IOException {
         relay.start();
         assertEquals(202, relay.submit("m0", "safe", 7));
         await(() -> host.countRequests("POST") == 1);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void listThatTheNewDiscoveryTellsSlowlyIsWaitedFor() throws IOException {
+    void relayWaitsForAListThatTheNewDiscoverySendsSlowly() throws IOException {
         relay.start();
         try (StubPeer other = StubPeer.always(respondWithStatus(200));
                 StubPeer next = new StubPeer(request -> {
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void noticeThatTheOldAddressLeftUnansweredGoesToTheNewOne() throws IOException, InterruptedException {
+    void noticeUnansweredAtTheOldAddressIsSentToTheNewOne() throws IOException, InterruptedException {
         discovery.respondWith(request -> StubPeer.NO_RESPONSE);
         host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
         relay.start().submit("u1", "unsafe", 7);
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void configurationThatCannotBeReadLeavesTheOldOneInForce() throws IOException {
+    void unreadableConfigurationLeavesTheOldOneInForce() throws IOException {
         relay.start();
         relay.reconfigure(text -> "{");
         await(() -> relay.log().contains("the old configuration stays in force"));
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void classThatIsAddedIsTakenOnByItsOwnRules() throws IOException {
+    void messagesOfAnAddedClassAreAcceptedUnderItsRules() throws IOException {
         host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
         relay.start();
         assertEquals(400, relay.submit("l0", "late", 7));
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void numberOfAttemptsChanges() throws IOException {
+    void reloadChangesTheMaximumNumberOfAttempts() throws IOException {
         host.respondWith(request -> respondWithStatus(503, "X-Line-Busy: 1"));
         relay.start();
         relay.reconfigure(text -> text.replace("\"send-cap\":12", "\"send-cap\":2"));
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void fileThatIsNotWholeOrMakesNoSenseChangesNothing() throws IOException {
+    void truncatedOrInvalidFileChangesNothing() throws IOException {
         relay.start();
         List<UnaryOperator<String>> broken = List.of(text -> "", text -> text.substring(0, text.length() - 1),
                 text -> text + "}", text -> text.replace("\"fees\":{}", "\"other\":{}"),
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void openMessageKeepsItsClassWhenThatIsDroppedAlsoAcrossARestart() throws IOException {
+    void openMessageKeepsItsTermsWhenItsClassIsRemovedOrChangedAlsoAcrossARestart() throws IOException {
         host.respondWith(request -> StubPeer.NO_RESPONSE);
         relay.start();
         assertEquals(202, relay.submit("o1", "unsafe", 7));
--- a/src/test/java/drumdeal/relay/RequestClassRegistryTest.java
+++ b/src/test/java/drumdeal/relay/RequestClassRegistryTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void changedClassIsHeldToBothRulesUntilClientsKnow() {
+    void changedClassUsesTheStricterRulesDuringTheChangeover() {
         assertEquals(Idempotency.ONCE,
                 createChangedClasses().termsFor(content("c", null), 100_001).requestClass().idempotency());
         assertEquals(4, createChangedClasses().termsFor(content("c", null), 100_001).maxAttempts());
@@ -46,20 +46,20 @@
     }
 
     @Test
-    void droppedClassIsTakenOnUntilClientsKnow() {
+    void removedClassIsAcceptedDuringTheChangeover() {
         assertEquals(12, createChangedClasses().termsFor(content("gone", null), 100_001).maxAttempts());
         assertNull(createChangedClasses().termsFor(content("gone", null), AFTER_CHANGEOVER_MICROS));
     }
 
     @Test
-    void addedClassIsTakenOnAtOnceAndNeedsItsKey() {
+    void addedClassIsAcceptedAtOnceAndRequiresItsKey() {
         assertNotNull(createChangedClasses().termsFor(content("new", "k"), 100_001));
         assertNull(createChangedClasses().termsFor(content("new", null), 100_001));
         assertNull(createChangedClasses().termsFor(content("never", "k"), 100_001));
     }
 
     @Test
-    void whoHasNoKeyYetIsTakenOnAsOneThatIsSentOnce() {
+    void messageWithoutANewlyRequiredKeyIsAcceptedAsAtMostOnce() {
         RequestClassRegistry classes = new RequestClassRegistry(
                 settings(12, requestClass("c", Idempotency.REPEATABLE)));
         classes.update(settings(12, requestClass("c", Idempotency.BY_KEY)), 100_000);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void classWhoseGoalIsCloseToItsDeadlineIsTaken() {
+    void classWhoseGoalIsCloseToItsDeadlineIsAccepted() {
         RequestClassRegistry classes = new RequestClassRegistry(settings(12, new Policy.RequestClass(
                 "close", Idempotency.ONCE, KeyScope.ALL, 0, 9_500_000, 10_000_000, 1, 0.3, false)));
         assertEquals(10_000_000, classes.termsFor(content("close", null), 0).requestClass().timeLimitMicros());
--- a/src/test/java/drumdeal/relay/RestartTest.java
+++ b/src/test/java/drumdeal/relay/RestartTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void messageThatMayBeRepeatedIsResumed() throws IOException {
+    void repeatableMessageIsSentAgainAfterAKill() throws IOException {
         killAndRestartWith("s1", "safe");
         await(() -> host.requests.size() == 2);
         assertEquals("s1", host.requests.get(1).callId());
@@ -39,14 +39,14 @@
     }
 
     @Test
-    void keyedMessageIsSentAgainWithinItsWindow() throws IOException {
+    void keyedMessageIsSentAgainWithinItsDedupWindow() throws IOException {
         killAndRestartWith("k1", "keyed");
         await(() -> host.requests.size() == 2);
         assertEquals("key-k1", host.requests.get(1).headers().get("idempotency-key"));
     }
 
     @Test
-    void unsafeMessageWhoseAttemptIsUnknownIsNeitherSentNorRefused() throws IOException {
+    void unsafeMessageWithUnknownResultIsReportedDeadAndNotSentAgain() throws IOException {
         killAndRestartWith("u1", "unsafe");
         await(() -> relay.hasSentNotice("u1", "dead"));
         assertEquals(1, host.countRequests("POST /receive"));
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void unsafeMessageThatNeverRanIsResumed() throws IOException {
+    void unsafeMessageThatProvablyHadNoEffectIsSentAgain() throws IOException {
         host.respondWith(request -> respondWithStatus(503, "X-Come-Back-Ms: 60000"));
         assertEquals(202, relay.start().submit("u2", "unsafe", 7));
         await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream())
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void deliveredMessageIsOver() throws IOException {
+    void deliveredMessageIsNotSentAgain() throws IOException {
         host.respondWith(request -> respondWithStatus(200));
         relay.start().submit("d1", "unsafe", 7);
         await(() -> host.requests.size() == 1 && relay.readOpenMessages().isEmpty());
@@ -84,7 +84,7 @@
 
     /** Neither its list nor, for the first moment, discovery knows where the messages of a whole journal go. */
     @Test
-    void wholeJournalOfUntriedMessagesIsTriedAfterAKillThoughTheListIsUnknownAtFirst() throws IOException {
+    void untriedMessagesAreAllSentAfterAKillOnceDiscoverySendsItsList() throws IOException {
         relay.start();
         for (int i = 0; i < 30; i++) {
             assertEquals(202, relay.submit("w" + i, List.of("safe", "keyed", "unsafe").get(i % 3), 7));
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void timeSpentDownCounts() throws IOException, InterruptedException {
+    void timeWhileTheRelayIsDownCountsTowardsTheDeadline() throws IOException, InterruptedException {
         // Enough time for a slow machine to take the message on, all of which passes while the relay is down.
         assertEquals(202, relay.start().submit("t1", "safe", 7, 5000, "x"));
         relay.kill();
@@ -118,13 +118,13 @@
     }
 
     @Test
-    void destinationThatTheOldListLacksIsRefusedUntilDiscoveryHasToldItsList() throws IOException {
+    void unlistedDestinationIsRejectedUntilDiscoverySendsItsList() throws IOException {
         assertEquals(503, relay.start().submit("x1", "safe", 99));
         assertEquals(0, host.requests.size());
     }
 
     @Test
-    void noticeThatWasNotHeardIsSentAgain() throws IOException {
+    void unacknowledgedNoticeIsSentAgain() throws IOException {
         discovery.respondWith(request -> StubPeer.NO_RESPONSE);
         host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
         relay.start().submit("n1", "unsafe", 7);
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void plannedEndAnswersAllWhoCameWhileTheRelayHadNoCpu() throws IOException, InterruptedException {
+    void gracefulStopAnswersRequestsThatArrivedWhileTheProcessWasPaused() throws IOException, InterruptedException {
         relay.start();
         List<Socket> crowd = new ArrayList<>();
         try (Socket unfinished = relay.connect()) {
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void messageWhoseTimeIsUpAsTheRelayEndsIsRefused() throws IOException, InterruptedException {
+    void unsentMessageThatExpiresDuringShutdownIsReportedBounced() throws IOException, InterruptedException {
         host.respondWith(request -> respondWithStatus(429, "X-Come-Back-Ms: 60000"));
         relay.start();
         assertEquals(202, relay.submit("first", "safe", 7));
@@ -187,7 +187,7 @@
     }
 
     @Test
-    void plannedEndServesAClientThatComesAgainAsItsConnectionCloses() throws IOException, InterruptedException {
+    void gracefulStopServesAClientThatReconnectsWhenItsConnectionCloses() throws IOException, InterruptedException {
         boolean served = false;
         // On a busy machine a client may come again too late; then the next one is looked at.
         for (int tries = 0; tries < 5 && !served; tries++) {
@@ -207,7 +207,7 @@
     }
 
     @Test
-    void plannedEndAnswersWhatComesAndLeavesTheRestToTheJournal() throws IOException, InterruptedException {
+    void gracefulStopAnswersClientsAndLeavesOpenMessagesToTheJournal() throws IOException, InterruptedException {
         relay.start();
         try (Socket idle = relay.connect(); Socket busy = relay.connect()) {
             String ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
--- a/src/test/java/drumdeal/relay/RouteStateFileTest.java
+++ b/src/test/java/drumdeal/relay/RouteStateFileTest.java
@@ -25,20 +25,20 @@
     }
 
     @Test
-    void whatWasWrittenIsRead() throws IOException {
+    void writtenStateIsReadUpToTheMaximumAge() throws IOException {
         writeRouteStateFile();
         assertArrayEquals(LEARNED,
                 RouteStateFile.read(folder, NOW_MICROS + RouteStateFile.MAX_AGE_MICROS, DISK_LIMIT_BYTES));
     }
 
     @Test
-    void missingFileIsPassedOver() throws IOException {
+    void missingFileIsIgnored() throws IOException {
         Files.delete(writeRouteStateFile());
         assertNull(RouteStateFile.read(folder, NOW_MICROS, DISK_LIMIT_BYTES));
     }
 
     @Test
-    void fileThatIsCutShortIsPassedOver() throws IOException {
+    void truncatedFileIsIgnored() throws IOException {
         Path file = writeRouteStateFile();
         byte[] whole = Files.readAllBytes(file);
         for (int length = 0; length < whole.length; length++) {
@@ -48,21 +48,21 @@
     }
 
     @Test
-    void fileOfAnotherVersionIsPassedOver() throws IOException {
+    void fileOfAnotherVersionIsIgnored() throws IOException {
         Path file = writeRouteStateFile();
         Files.write(file, ByteBuffer.wrap(Files.readAllBytes(file)).putInt(0, 9).array());
         assertNull(RouteStateFile.read(folder, NOW_MICROS, DISK_LIMIT_BYTES));
     }
 
     @Test
-    void fileThatIsTooOldOrOfTheFutureIsPassedOver() throws IOException {
+    void fileThatIsTooOldOrFromTheFutureIsIgnored() throws IOException {
         writeRouteStateFile();
         assertNull(RouteStateFile.read(folder, NOW_MICROS + RouteStateFile.MAX_AGE_MICROS + 1, DISK_LIMIT_BYTES));
         assertNull(RouteStateFile.read(folder, NOW_MICROS - 1, DISK_LIMIT_BYTES));
     }
 
     @Test
-    void circuitThatWasOpenIsOpenAfterAKill() throws IOException {
+    void openCircuitIsStillOpenAfterAKill() throws IOException {
         prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(StubPeer.CLOSE_CONNECTION));
         relay.start();
         for (int i = 0; i < 4; i++) {
--- a/src/test/java/drumdeal/relay/UnansweredNoticeTest.java
+++ b/src/test/java/drumdeal/relay/UnansweredNoticeTest.java
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void clumpWhoseNoticesFallSilentTwiceIsToldAThirdTimeBeforeItIsLost() {
+    void batchThatTimesOutTwiceIsSentAThirdTimeBeforeTheNoticeDeadline() {
         endMessage("a");
         endMessage("bb");
         endMessage("ccc");
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void agentThatHasBecomeSlowIsWaitedForLongerUntilItAnswers() {
+    void timeoutGrowsForASlowAgentUntilItAnswers() {
         endMessage("a");
         for (int times = 0; times < 6; times++) {
             timeOutLastCall();
--- a/src/test/java/drumdeal/relay/UpgradeTest.java
+++ b/src/test/java/drumdeal/relay/UpgradeTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void newerProcessServesAndTheOlderLeavesByItself() throws IOException, InterruptedException {
+    void newerProcessServesAndTheOlderExitsByItself() throws IOException, InterruptedException {
         host.respondWith(request -> respondWithStatus(200));
         relay.start();
         try (Socket kept = relay.connect()) {
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void callThatIsOutEndsWhereItIsAndIsNotSentAgain() throws IOException, InterruptedException {
+    void callInFlightIsFinishedByTheOlderProcessAndNotSentAgain() throws IOException, InterruptedException {
         CountDownLatch served = new CountDownLatch(1);
         host.respondWith(request -> {
             try {
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void messageAtRestIsSentByTheNewerProcessAndWaitsToldToTheOlderAreKept() throws IOException, InterruptedException {
+    void waitingMessageIsSentByTheNewerProcessAfterItsRetryDelay() throws IOException, InterruptedException {
         AtomicLong refused = new AtomicLong();
         host.respondWith(request -> {
             refused.set(System.nanoTime());
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void whatTheOlderProcessHeldWhenItWasKilledIsAdopted() throws IOException {
+    void newerProcessAdoptsOpenMessagesOfAKilledOlderProcess() throws IOException {
         relay.start();
         assertEquals(202, relay.submit("k1", "safe", 7));
         assertEquals(202, relay.submit("u1", "unsafe", 7));
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void olderProcessServesOnWhereTheNewerOneEndsBeforeItListens() throws IOException, InterruptedException {
+    void olderProcessResumesIfTheNewerOneEndsBeforeItListens() throws IOException, InterruptedException {
         relay.start();
         try (var asking = SocketChannel.open(Handover.socketAddress(relay.stateFolder()))) {
             requestHandover(asking);
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void messagesArePassedOnInSmallSteps() throws IOException {
+    void unacknowledgedMessagesInHandoverAreLimited() throws IOException {
         host.respondWith(request -> respondWithStatus(429, "X-Come-Back-Ms: 60000"));
         relay.start();
         assertEquals(202, relay.submit("m0", "safe", 7));
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void deadOwnerAndStaleSocketDoNotStopAStart() throws IOException {
+    void deadOwnerAndStaleSocketDoNotPreventAStart() throws IOException {
         relay.start();
         assertEquals(202, relay.submit("d1", "safe", 7));
         await(() -> countCalls("d1") == 1);
