--- a/src/test/java/drumdeal/relay/AdminTest.java
+++ b/src/test/java/drumdeal/relay/AdminTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What operators may ask at their own address, and what they are told. */
+/** The admin server: health check, statistics, draining, and its availability beside many clients. */
 class AdminTest extends RelayTestBase {
     private static final String READY_REQUEST = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
@@ -90,7 +90,7 @@
         assertTrue(stats.contains("\"keyed\":{\"completed\":0,\"rejected\":1,\"failed\":0}"), stats);
         assertTrue(stats.contains("\"upstream_requests\":3,\"pending\":0,\"members\":1,"), stats);
         assertTrue(stats.contains("\"config_reloads\":0,\"config_reload_errors\":0}"), stats);
-        // The counters of the log are cleared every two seconds; these are not.
+        // The counters in the log are reset every two seconds; these are not.
         await(() -> relay.log().contains("taken 3"));
         assertTrue(relay.fetchStats().contains("\"safe\":{\"completed\":2,"));
     }
--- a/src/test/java/drumdeal/relay/DeadlineMarginTest.java
+++ b/src/test/java/drumdeal/relay/DeadlineMarginTest.java
@@ -10,6 +10,10 @@
 import drumdeal.Policy.RequestTerms;
 import org.junit.jupiter.api.Test;
 
+/**
+ * How much earlier than the client's deadline the relay ends a message, so that its notice is in time even if the event
+ * loop stalls.
+ */
 class DeadlineMarginTest {
     private static final long SECOND = 1_000_000;
     private static final long NOW_MICROS = 1_000 * SECOND;
@@ -45,6 +49,7 @@
         assertEquals(3 * SECOND, margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS + 2, 28 * SECOND));
     }
 
+    /** The age of a message is computed from its deadline and its time limit: an earlier deadline alone would raise it. */
     @Test
     void timeLimitIsShortenedByTheMargin() {
         RequestTerms shorter = DeadlineMargin.shortenDeadline(terms(2 * SECOND, 20 * SECOND), 2 * SECOND);
--- a/src/test/java/drumdeal/relay/JournalTest.java
+++ b/src/test/java/drumdeal/relay/JournalTest.java
@@ -17,6 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Replay of a journal, also a damaged one, and its limits on the disk. */
 class JournalTest {
     private static final long DISK_LIMIT_BYTES = 3 << 20;
 
@@ -28,12 +29,14 @@
                 new Message.Content("id" + number, "safe", "acme", null, 123, 7, new byte[bytes]), null);
     }
 
+    /** The unfinished messages that a new journal finds in the folder. */
     private List<Message> readAfterReopening() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             return journal.unfinishedMessages();
         }
     }
 
+    /** The size of all files in the folder, each rounded up to blocks of 512 bytes. */
     private long usedDiskBytes() throws IOException {
         try (var files = Files.list(folder)) {
             return files.mapToLong(file -> (file.toFile().length() + 511) / 512 * 512).sum();
@@ -138,7 +141,8 @@
             }
         }
         assertTrue(refused > 100, "refused: " + refused);
-        // During a rewrite the new segment, no larger than what is open, stands beside the old one.
+        // The other half is for compaction: until it is done, the new segment, which is no larger than the records
+        // of unfinished messages, exists beside the old one.
         assertTrue(most < 0.5 * DISK_LIMIT_BYTES, "most on disk: " + most);
         assertEquals(held.stream().map(m -> m.number).toList(),
                 readAfterReopening().stream().map(m -> m.number).toList());
--- a/src/test/java/drumdeal/relay/LargeDeploymentTest.java
+++ b/src/test/java/drumdeal/relay/LargeDeploymentTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Deployments with a thousand endpoints, each of a destination of its own. */
+/** Deployments with a thousand endpoints, each with its own destination. */
 class LargeDeploymentTest extends RelayTestBase {
     private static final int ENDPOINT_COUNT = 1024;
 
-    /** What discovery answers next; each news is told once. */
+    /** The next list or change that discovery sends, once; null if there is none. */
     private final AtomicReference<String> nextListUpdate = new AtomicReference<>();
 
     @BeforeEach
--- a/src/test/java/drumdeal/relay/LogTest.java
+++ b/src/test/java/drumdeal/relay/LogTest.java
@@ -6,6 +6,7 @@
 import java.io.PrintStream;
 import org.junit.jupiter.api.Test;
 
+/** The limit on log lines per second: a peer must not make the relay log more than its reader can take. */
 class LogTest {
     @Test
     void linesPerSecondAreLimited() {
--- a/src/test/java/drumdeal/relay/NoticeSenderTest.java
+++ b/src/test/java/drumdeal/relay/NoticeSenderTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What the platform is told of messages that were taken on and not delivered. */
+/** Notices to the platform about messages that were accepted and not delivered. */
 class NoticeSenderTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
--- a/src/test/java/drumdeal/relay/RelayProcess.java
+++ b/src/test/java/drumdeal/relay/RelayProcess.java
@@ -15,13 +15,21 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The real program, started as a process of its own with stub peers round it. */
+/**
+ * The relay as a process of its own, as in production, with stub peers for discovery and the hosts. Its state folder is
+ * kept between starts, so that a test can kill and restart it.
+ */
 final class RelayProcess implements AutoCloseable {
     private static final Pattern SERVING_LINE = Pattern.compile("serving on \\S*?([0-9.]+):(\\d+)");
     private static final Pattern ADMIN_LINE = Pattern.compile("operators at \\S*?([0-9.]+):(\\d+)");
     private static final int TIMEOUT_SECONDS = 30;
 
-    /** An answer of the relay: its status, or 0 where the connection ended without one. */
+    /**
+     * The response of a relay.
+     *
+     * @param status the status code, or 0 if the connection ended before a complete head had arrived
+     * @param head the status line and the headers as received
+     */
     record Response(int status, String head) { }
 
     private final Path folder;
@@ -42,29 +50,38 @@
         this.discovery = discovery;
     }
 
-    /** An entry of discovery's list. Kind {@code one} takes one message a call, {@code many} takes four. */
+    /** An entry of discovery's list. A call to kind {@code one} carries one message, to {@code many} up to four. */
     static String targetJson(String uid, int destination, String kind, String state, String address) {
         return "{\"uid\":\"" + uid + "\",\"endpoint\":\"" + address + "\",\"az\":\"a\",\"model\":\"" + kind
                 + "\",\"pod_group\":" + destination + ",\"state\":\"" + state
                 + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
+    /**
+     * A response of discovery.
+     *
+     * @param all true for the full list, false if the targets are changes to the previous one
+     */
     static String targetListJson(int rev, boolean all, String... targets) {
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + String.join(",", targets) + "]}";
     }
 
-    /** Discovery that tells no news and takes every notice. */
+    /** Discovery that acknowledges every notice and leaves requests for the list unanswered. */
     static StubPeer discoveryWithoutChanges() throws IOException {
         return new StubPeer(request -> request.requestLine().startsWith("POST /status")
                 ? StubPeer.respondWithStatus(204) : StubPeer.NO_RESPONSE);
     }
 
+    /** Adds a target to the list in the configuration of the next start. */
     RelayProcess addTarget(String uid, int destination, String kind, StubPeer host) {
         targets.add(targetJson(uid, destination, kind, "in_service", host.address()));
         return this;
     }
 
-    /** Another process of the same relay, not started yet, as the platform starts it beside this one. */
+    /**
+     * Another process of the same relay, not started yet, with the same folder and listen address: the platform starts
+     * it beside this one during an upgrade.
+     */
     RelayProcess createSuccessor() {
         Matcher at = SERVING_LINE.matcher(log());
         if (!at.find()) {
@@ -77,30 +94,31 @@
         return next;
     }
 
+    /** Sets the disk limit of the configuration, in MB. */
     RelayProcess limitDisk(double mb) {
         diskLimitMb = mb;
         return this;
     }
 
-    /** How long the relay gathers what comes in before it acts. */
+    /** Sets for how long the relay collects events before each round of decisions. */
     RelayProcess roundPeriodSeconds(String seconds) {
         roundPeriodSeconds = seconds;
         return this;
     }
 
-    /** Changes what it is told at its next start. */
+    /** Sets an edit of the configuration text that applies from the next start or reload on. */
     RelayProcess editConfiguration(UnaryOperator<String> next) {
         configurationEdit = next;
         return this;
     }
 
-    /** How many descriptors the system lets the relay have, whatever its configuration says. */
+    /** Sets the system's limit on open file descriptors of the relay, independent of its configuration. */
     RelayProcess descriptorLimit(int most) {
         descriptorLimit = most;
         return this;
     }
 
-    /** How many descriptors the relay has open. */
+    /** The number of file descriptors that the relay has open. */
     int countOpenDescriptors() {
         return Path.of("/proc/" + process.pid() + "/fd").toFile().list().length;
     }
@@ -122,14 +140,14 @@
                 + ",\"settings\":" + SETTINGS_TEMPLATE.replace("PERIOD", roundPeriodSeconds) + "}"));
     }
 
-    /** Discovery is at another place from now on; the relay hears of it by SIGHUP. */
+    /** Writes a configuration with another discovery and makes the relay reload it (SIGHUP). */
     void moveDiscovery(StubPeer next) throws IOException {
         discovery = next;
         writeConfiguration();
         sendHangUpSignal();
     }
 
-    /** The configuration is another one from now on; the relay hears of it by SIGHUP. */
+    /** Writes an edited configuration and makes the relay reload it (SIGHUP). */
     void reconfigure(UnaryOperator<String> next) throws IOException {
         editConfiguration(next).writeConfiguration();
         sendHangUpSignal();
@@ -139,7 +157,7 @@
         sendSignal("HUP");
     }
 
-    /** Takes the CPU from the relay, as a host with too little of it does. */
+    /** Stops the process with SIGSTOP until {@link #resume()}, like a machine that has no CPU time for it. */
     void pause() throws IOException {
         sendSignal("STOP");
         Path state = Path.of("/proc/" + process.pid() + "/stat");
@@ -154,6 +172,7 @@
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start();
     }
 
+    /** Starts the process and waits until it serves clients. */
     RelayProcess start() throws IOException {
         startWithoutWaiting();
         await(() -> SERVING_LINE.matcher(log()).find());
@@ -190,6 +209,7 @@
              "contract":{"drain-grace-s":0.5,"fall-s":2.0,"fall-multiple":2.5,"cold-from":0.2,"warm-up-s":9},
              "stats":{"how":"inline","fields":["x0","x1"]},"fees":{}}""";
 
+    /** The log of the latest start, so far. */
     String log() {
         return read(log);
     }
@@ -206,26 +226,28 @@
         return process.isAlive();
     }
 
-    /** SIGKILL. */
+    /** Ends the process with SIGKILL and waits until it is gone. */
     void kill() {
         process.destroyForcibly();
         process.onExit().join();
     }
 
-    /** SIGTERM. */
+    /** Requests a graceful stop with SIGTERM; does not wait for it. */
     void terminate() {
         process.destroy();
     }
 
+    /** Waits for the process to end; false if it has not ended within 30 s. */
     boolean waitForExit() throws InterruptedException {
         return process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
+    /** Opens a client connection. */
     Socket connect() throws IOException {
         return connect(SERVING_LINE);
     }
 
-    /** A connection to the operators' door. */
+    /** Opens a connection to the admin server. */
     Socket connectToAdmin() throws IOException {
         return connect(ADMIN_LINE);
     }
@@ -240,7 +262,7 @@
         return socket;
     }
 
-    /** Hands a message in and returns the status of the answer. */
+    /** Submits a message with a time budget of 20 s and returns the status code of the response. */
     int submit(String id, String type, int destination) throws IOException {
         return submit(id, type, destination, 20_000, "hello");
     }
@@ -249,6 +271,7 @@
         return exchange(messageRequest(id, type, destination, budgetMs, body)).status();
     }
 
+    /** The request that submits a message; its idempotency key is {@code key-} and the id. */
     static String messageRequest(String id, String type, int destination, int budgetMs, String body) {
         return "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: " + id + "\r\nX-Call-Class: " + type
                 + "\r\nX-Caller: acme\r\nX-Budget-Ms: " + budgetMs + "\r\nIdempotency-Key: key-" + id
@@ -256,20 +279,21 @@
                 + "\r\n\r\n" + body;
     }
 
+    /** Sends a request on a connection of its own. */
     Response exchange(String request) throws IOException {
         try (Socket socket = connect()) {
             return exchange(socket, request);
         }
     }
 
-    /** What an operator's call is answered with. */
+    /** Sends a request to the admin server and returns the status code of the response. */
     int sendAdminRequest(String method, String path) throws IOException {
         try (Socket socket = connectToAdmin()) {
             return exchange(socket, method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").status();
         }
     }
 
-    /** The figures that operators see. */
+    /** The body of the response to {@code GET /stats}. */
     String fetchStats() {
         try (Socket socket = connectToAdmin()) {
             exchange(socket, "GET /stats HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -279,6 +303,7 @@
         }
     }
 
+    /** Sends a request and reads the head of the response; its body, if any, stays unread. */
     static Response exchange(Socket socket, String request) throws IOException {
         socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
         StringBuilder head = new StringBuilder();
@@ -291,12 +316,12 @@
         return new Response(0, head.toString());
     }
 
-    /** What the running relay's journal holds open, read from a copy. */
+    /** The messages that are unfinished in the relay's journal, read from a copy as the relay may be running. */
     List<Message> readOpenMessages() {
         return readOpenMessages(stateFolder());
     }
 
-    /** What lies open in one part of the folder. */
+    /** The messages that are unfinished in the journal of one process folder. */
     List<Message> readOpenMessages(Path part) {
         try (var files = Files.list(part)) {
             Path copy = Files.createDirectories(folder.resolve("copy"));
@@ -309,11 +334,13 @@
         }
     }
 
+    /** Returns whether discovery has received a notice with this result ({@code bounced} or {@code dead}). */
     boolean hasSentNotice(String id, String result) {
         return discovery.requests.stream().anyMatch(r -> r.requestLine().startsWith("POST /status")
                 && r.body().contains("{\"ref\":\"" + id + "\",\"result\":\"" + result + "\""));
     }
 
+    /** Polls until the condition holds; fails the test after 30 s. */
     static void await(BooleanSupplier condition) {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
--- a/src/test/java/drumdeal/relay/RelayTestBase.java
+++ b/src/test/java/drumdeal/relay/RelayTestBase.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A relay with one host and discovery round it, ended after each test. */
+/** Base of tests that run a relay with one host and discovery; all three are closed after each test. */
 abstract class RelayTestBase {
     @TempDir
     Path folder;
@@ -13,7 +13,7 @@
     StubPeer host;
     RelayProcess relay;
 
-    /** Prepares a relay, not started yet, that knows the host at destination 7. */
+    /** Creates a relay, not started yet, whose configuration lists the host at destination 7. */
     void prepare(StubPeer discovery, StubPeer host) {
         this.discovery = discovery;
         this.host = host;
--- a/src/test/java/drumdeal/relay/ReloadTest.java
+++ b/src/test/java/drumdeal/relay/ReloadTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A configuration that is replaced while the relay runs. */
+/** Reload of the configuration, on SIGHUP, while the relay runs. */
 class ReloadTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
         prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(respondWithStatus(200)));
     }
 
-    /** Discovery with a list of its own, which takes every notice. */
+    /** Discovery that sends the list, leaves requests for changes unanswered and acknowledges every notice. */
     private static StubPeer createDiscovery(String list) throws IOException {
         return new StubPeer(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204)
                 : request.requestLine().contains("after=") ? StubPeer.NO_RESPONSE : respondWith(200, list));
--- a/src/test/java/drumdeal/relay/RequestClassRegistryTest.java
+++ b/src/test/java/drumdeal/relay/RequestClassRegistryTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** On what terms messages are taken on while settings change. */
+/** The terms on which messages are accepted while clients may still use the previous settings. */
 class RequestClassRegistryTest {
     private static final long AFTER_CHANGEOVER_MICROS = 100_000 + RequestClassRegistry.CHANGEOVER_MICROS;
 
--- a/src/test/java/drumdeal/relay/RestartTest.java
+++ b/src/test/java/drumdeal/relay/RestartTest.java
@@ -15,13 +15,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a relay owes across the end of its process. */
+/** Messages and notices across the end of a process, by kill or by graceful stop, and the next start. */
 class RestartTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
         prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(StubPeer.NO_RESPONSE));
     }
 
+    /** Kills the relay while a call with the message is in flight, and restarts it. */
     private void killAndRestartWith(String id, String type) throws IOException {
         assertEquals(202, relay.start().submit(id, type, 7));
         await(() -> host.requests.size() == 1);
@@ -82,7 +83,10 @@
         assertFalse(relay.hasSentNotice("d1", "dead"));
     }
 
-    /** Neither its list nor, for the first moment, discovery knows where the messages of a whole journal go. */
+    /**
+     * After the kill the configuration lists no target, and discovery at first fails: the relay must keep the messages
+     * of its journal until it gets a list, although it does not know their destination.
+     */
     @Test
     void untriedMessagesAreAllSentAfterAKillOnceDiscoverySendsItsList() throws IOException {
         relay.start();
@@ -109,7 +113,7 @@
 
     @Test
     void timeWhileTheRelayIsDownCountsTowardsTheDeadline() throws IOException, InterruptedException {
-        // Enough time for a slow machine to take the message on, all of which passes while the relay is down.
+        // The budget lets a slow machine accept the message in time, and all of it passes while the relay is down.
         assertEquals(202, relay.start().submit("t1", "safe", 7, 5000, "x"));
         relay.kill();
         Thread.sleep(5000);
@@ -143,7 +147,7 @@
         relay.start();
         List<Socket> crowd = new ArrayList<>();
         try (Socket unfinished = relay.connect()) {
-            // Keeps the relay from ending before it is paused.
+            // An incomplete request keeps the relay running until it is paused.
             unfinished.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
@@ -177,7 +181,7 @@
         relay.terminate();
         Thread.sleep(1000);
         try (Socket unfinished = relay.connect()) {
-            // Keeps the relay there for a while after its time for beginning anything is over.
+            // An incomplete request keeps the relay running for a while after it has stopped new attempts.
             unfinished.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
             assertTrue(relay.waitForExit());
         }
@@ -189,7 +193,7 @@
     @Test
     void gracefulStopServesAClientThatReconnectsWhenItsConnectionCloses() throws IOException, InterruptedException {
         boolean served = false;
-        // On a busy machine a client may come again too late; then the next one is looked at.
+        // On a busy machine a client may reconnect too late; then another one is tried.
         for (int tries = 0; tries < 5 && !served; tries++) {
             relay.start();
             try (Socket kept = relay.connect()) {
--- a/src/test/java/drumdeal/relay/RouteStateFileTest.java
+++ b/src/test/java/drumdeal/relay/RouteStateFileTest.java
@@ -12,7 +12,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** What of the routes' health outlasts a kill. */
+/** The file with the learned state of the routes: what is read from it after a kill, and when it is ignored. */
 class RouteStateFileTest extends RelayTestBase {
     private static final long NOW_MICROS = 1_000_000_000;
     private static final long DISK_LIMIT_BYTES = 3 << 20;
--- a/src/test/java/drumdeal/relay/StubPeer.java
+++ b/src/test/java/drumdeal/relay/StubPeer.java
@@ -15,20 +15,26 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Function;
 
-/** A peer of tests on an ephemeral port: a host, or discovery. It answers each request as it is told. */
+/**
+ * An HTTP server for tests on an ephemeral loopback port, in the place of a host or of discovery. It records each
+ * request and answers with the text that its responder returns.
+ */
 final class StubPeer implements AutoCloseable {
-    /** In place of an answer: the connection closes, or nothing comes at all. */
+    /** Returned by a responder in place of a response: closes the connection, or leaves the request unanswered. */
     static final String CLOSE_CONNECTION = "close";
     static final String NO_RESPONSE = "silence";
 
-    /** A request as it came; the names of headers are in lower case. */
+    /** A request as received; the header names are in lower case. */
     record Request(String requestLine, Map<String, String> headers, String body, long receivedAtNanos) {
+        /** The call id header, or null if the request has none. */
         String callId() {
             return headers.get("x-call-id");
         }
     }
 
+    /** All requests so far, in the order received. */
     final List<Request> requests = new CopyOnWriteArrayList<>();
+    /** All connections accepted so far, including closed ones. */
     final List<Socket> connections = new CopyOnWriteArrayList<>();
     private final ServerSocket serverSocket;
     private volatile Function<Request, String> responder;
@@ -39,7 +45,7 @@
         startDaemon(this::accept);
     }
 
-    /** A peer that gives one answer to everything. */
+    /** A peer that gives the same response to every request. */
     static StubPeer always(String answer) throws IOException {
         return new StubPeer(request -> answer);
     }
@@ -56,6 +62,7 @@
         return text + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
+    /** Replaces the responder, also for connections that are open. */
     void respondWith(Function<Request, String> next) {
         responder = next;
     }
@@ -64,11 +71,12 @@
         return "127.0.0.1:" + serverSocket.getLocalPort();
     }
 
+    /** The number of requests so far whose request line starts with the text. */
     long countRequests(String start) {
         return requests.stream().filter(r -> r.requestLine().startsWith(start)).count();
     }
 
-    /** True where a message has come, however often. */
+    /** Returns whether a message with this call id has arrived, once or more often. */
     boolean hasReceived(String id) {
         return requests.stream().anyMatch(r -> id.equals(r.callId()));
     }
@@ -117,6 +125,7 @@
         }
     }
 
+    /** Reads the next request; null at the end of the stream. */
     private static Request readRequest(InputStream in) throws IOException {
         String line = readLine(in);
         if (line.isEmpty()) {
--- a/src/test/java/drumdeal/relay/UnansweredNoticeTest.java
+++ b/src/test/java/drumdeal/relay/UnansweredNoticeTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When notices that go unanswered are told again, on a clock of the test's own. */
+/** When notices that get no answer are sent again, on a simulated clock. */
 class UnansweredNoticeTest {
-    /** After its time a message that nobody has heard of is lost. */
+    /** A message counts as lost if its notice arrives later than this after its deadline. */
     private static final long NOTICE_DEADLINE_MILLIS = 300;
 
     private record NoticeCall(long sentAtMillis, String body, long timeoutMillis,
@@ -59,7 +59,7 @@
         notices.send(message);
     }
 
-    /** No answer comes to the last request; the next one follows. */
+    /** Lets the last request time out and waits for the next one. */
     private void timeOutLastCall() {
         int before = calls.size();
         NoticeCall silent = lastCall();
--- a/src/test/java/drumdeal/relay/UpgradeTest.java
+++ b/src/test/java/drumdeal/relay/UpgradeTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Two processes of one relay, of which the newer takes over from the older. */
+/** Two processes of one relay: the newer one takes over from the older one. */
 class UpgradeTest extends RelayTestBase {
     private RelayProcess successor;
 
@@ -127,6 +127,7 @@
         await(() -> countCalls("m1") == 1);
     }
 
+    /** Requests a handover, as a newer process does. */
     static void requestHandover(SocketChannel older) throws IOException {
         writeFrame(older, Handover.FrameType.TAKEOVER_REQUEST, out -> out.writeInt(Handover.VERSION));
     }
@@ -143,7 +144,7 @@
         })));
     }
 
-    /** The next frame of an older process: its word, and the number that follows it. */
+    /** Reads the next frame: its type and the first eight bytes after it as a number, with a space between. */
     private static String readFrame(DataInputStream older) throws IOException {
         byte[] frame = older.readNBytes(older.readInt());
         return Handover.FrameType.values()[frame[0]] + " " + ByteBuffer.wrap(frame).getLong(1);
@@ -185,7 +186,7 @@
         host.respondWith(request -> respondWithStatus(200));
         relay.start();
         await(() -> countCalls("d1") == 2);
-        // A part that nobody owns, with a socket that nobody serves.
+        // Leaves a process folder that no process owns, with a socket that no process listens on.
         relay.kill();
         try (StateFolder.LockedFolder first = StateFolder.tryLock(relay.stateFolder())) {
             assertTrue(first != null, "nobody owns it");
