--- a/src/test/java/drumdeal/relay/AdminTest.java
+++ b/src/test/java/drumdeal/relay/AdminTest.java
@@ -114,8 +114,8 @@
             assertEquals(200, relay.sendAdminRequest("POST", "/healthcheck/fail"));
             assertEquals(503, relay.exchange(READY_REQUEST).status());
             assertEquals(503, relay.sendAdminRequest("GET", "/healthcheck"));
-            assertEquals(202, relay.submit("late", "safe", 7), "who comes all the same is served");
-            assertTrue(isClosed(kept), "the kept connection closes");
+            assertEquals(202, relay.submit("late", "safe", 7), "a client that connects nevertheless must be served");
+            assertTrue(isClosed(kept), "the idle connection must be closed");
         }
         try (Socket late = relay.connect()) {
             String head = RelayProcess.exchange(late, RelayProcess.messageRequest("l2", "safe", 7, 9000, "x")).head();
@@ -125,7 +125,8 @@
         assertEquals(200, relay.sendAdminRequest("GET", "/healthcheck"));
         try (Socket again = relay.connect()) {
             assertEquals(200, RelayProcess.exchange(again, READY_REQUEST).status());
-            assertEquals(200, RelayProcess.exchange(again, READY_REQUEST).status(), "connections are kept again");
+            assertEquals(200, RelayProcess.exchange(again, READY_REQUEST).status(),
+                    "connections must be kept open again");
         }
     }
 }
--- a/src/test/java/drumdeal/relay/DeadlineMarginTest.java
+++ b/src/test/java/drumdeal/relay/DeadlineMarginTest.java
@@ -49,7 +49,10 @@
         assertEquals(3 * SECOND, margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS + 2, 28 * SECOND));
     }
 
-    /** The age of a message is computed from its deadline and its time limit: an earlier deadline alone would raise it. */
+    /**
+     * The age of a message is computed from its deadline and its time limit: with an earlier deadline alone the message
+     * would count as older than it is.
+     */
     @Test
     void timeLimitIsShortenedByTheMargin() {
         RequestTerms shorter = DeadlineMargin.shortenDeadline(terms(2 * SECOND, 20 * SECOND), 2 * SECOND);
--- a/src/test/java/drumdeal/relay/JournalTest.java
+++ b/src/test/java/drumdeal/relay/JournalTest.java
@@ -63,7 +63,7 @@
             }
             messages.forEach(journal::recordDone);
             int rewrites = Integer.parseInt(segmentFile().getFileName().toString().replaceAll("\\D", ""));
-            assertTrue(rewrites < 10, "written again so often: " + rewrites);
+            assertTrue(rewrites < 10, "number of compactions: " + rewrites);
         }
         assertTrue(readAfterReopening().isEmpty());
     }
@@ -140,10 +140,10 @@
                 most = Math.max(most, usedDiskBytes());
             }
         }
-        assertTrue(refused > 100, "refused: " + refused);
+        assertTrue(refused > 100, "rejected messages: " + refused);
         // The other half is for compaction: until it is done, the new segment, which is no larger than the records
         // of unfinished messages, exists beside the old one.
-        assertTrue(most < 0.5 * DISK_LIMIT_BYTES, "most on disk: " + most);
+        assertTrue(most < 0.5 * DISK_LIMIT_BYTES, "largest size on disk, in bytes: " + most);
         assertEquals(held.stream().map(m -> m.number).toList(),
                 readAfterReopening().stream().map(m -> m.number).toList());
     }
@@ -156,7 +156,7 @@
                 journal.recordAccepted(createMessage(number, 64 << 10));
             }
         }
-        assertTrue(usedDiskBytes() < 0.5 * DISK_LIMIT_BYTES / 2, "on disk: " + usedDiskBytes());
+        assertTrue(usedDiskBytes() < 0.5 * DISK_LIMIT_BYTES / 2, "size on disk, in bytes: " + usedDiskBytes());
         assertTrue(readAfterReopening().size() > 1);
     }
 
--- a/src/test/java/drumdeal/relay/NoticeSenderTest.java
+++ b/src/test/java/drumdeal/relay/NoticeSenderTest.java
@@ -32,7 +32,8 @@
         }
         await(() -> relay.hasSentNotice("a", "dead") && relay.hasSentNotice("b", "dead")
                 && relay.hasSentNotice("c", "dead"));
-        assertEquals(3, relay.readOpenMessages().size(), "what was not heard is still owed");
+        assertEquals(3, relay.readOpenMessages().size(),
+                "messages must stay open until their notices are acknowledged");
         answerNotices(request -> respondWithStatus(204));
         await(() -> relay.readOpenMessages().isEmpty());
     }
--- a/src/test/java/drumdeal/relay/RelayProcess.java
+++ b/src/test/java/drumdeal/relay/RelayProcess.java
@@ -16,8 +16,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The relay as a process of its own, as in production, with stub peers for discovery and the hosts. Its state folder is
- * kept between starts, so that a test can kill and restart it.
+ * The relay as a process of its own, with stub peers for discovery and the hosts. Its state folder is kept between
+ * starts, so that a test can kill and restart it.
  */
 final class RelayProcess implements AutoCloseable {
     private static final Pattern SERVING_LINE = Pattern.compile("serving on \\S*?([0-9.]+):(\\d+)");
@@ -85,7 +85,7 @@
     RelayProcess createSuccessor() {
         Matcher at = SERVING_LINE.matcher(log());
         if (!at.find()) {
-            throw new IllegalStateException("the relay does not serve: " + log());
+            throw new IllegalStateException("the relay does not serve clients, its log: " + log());
         }
         RelayProcess next = new RelayProcess(folder, discovery);
         next.targets.addAll(targets);
@@ -255,7 +255,7 @@
     private Socket connect(Pattern line) throws IOException {
         Matcher at = line.matcher(log());
         if (!at.find()) {
-            throw new IOException("the relay does not serve: " + log());
+            throw new IOException("the relay does not serve clients, its log: " + log());
         }
         Socket socket = new Socket(at.group(1), Integer.parseInt(at.group(2)));
         socket.setSoTimeout(TIMEOUT_SECONDS * 1000);
@@ -345,7 +345,7 @@
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("what was awaited did not come");
+                throw new AssertionError("condition not met in time");
             }
             try {
                 Thread.sleep(5);
--- a/src/test/java/drumdeal/relay/ReloadTest.java
+++ b/src/test/java/drumdeal/relay/ReloadTest.java
@@ -41,7 +41,7 @@
             await(() -> second.countRequests("GET /api/targets?after=1&") > 0);
             assertEquals(202, relay.submit("m1", "safe", 7));
             await(() -> host.countRequests("POST") == 2);
-            assertEquals(1, host.connections.size(), "a host that stays where it is keeps its connections");
+            assertEquals(1, host.connections.size(), "connections to a host at an unchanged address must be kept");
             relay.moveDiscovery(third);
             await(() -> third.countRequests("GET /api/targets?after=0&") > 0);
             assertEquals("GET /api/targets HTTP/1.1", third.requests.get(0).requestLine());
@@ -118,7 +118,7 @@
         await(() -> relay.fetchStats().contains("\"config_reloads\":1,\"config_reload_errors\":0"));
         assertEquals(202, relay.submit("l1", "late", 7));
         await(() -> relay.hasSentNotice("l1", "dead"));
-        assertEquals(1, host.requests.size(), "it may be sent once");
+        assertEquals(1, host.requests.size(), "the class allows a single attempt");
         await(() -> relay.fetchStats().contains("\"late\":{\"completed\":0,\"rejected\":0,\"failed\":1}"));
     }
 
@@ -150,7 +150,7 @@
             String errors = "\"config_reloads\":0,\"config_reload_errors\":" + (i + 1) + "}";
             await(() -> relay.fetchStats().contains(errors));
         }
-        assertEquals(400, relay.submit("b1", "late", 7), "nothing of them is taken");
+        assertEquals(400, relay.submit("b1", "late", 7), "no part of an invalid configuration may be applied");
         assertEquals(202, relay.submit("b2", "safe", 7));
         await(() -> host.countRequests("POST") == 1);
         assertTrue(discovery.connections.size() > 0 && relay.isAlive());
@@ -172,7 +172,7 @@
         relay.start();
         await(() -> relay.hasSentNotice("o1", "dead"));
         await(() -> host.countRequests("POST") == 3);
-        assertEquals("o2", host.requests.get(2).callId(), "it was taken on as one that may be repeated");
+        assertEquals("o2", host.requests.get(2).callId(), "the message was accepted as repeatable");
         assertEquals(400, relay.submit("o3", "unsafe", 7));
     }
 }
--- a/src/test/java/drumdeal/relay/RestartTest.java
+++ b/src/test/java/drumdeal/relay/RestartTest.java
@@ -97,7 +97,7 @@
         relay.kill();
         List<String> untried = relay.readOpenMessages().stream().filter(m -> m.attempts.isEmpty())
                 .map(m -> m.content.callId()).toList();
-        assertTrue(untried.size() >= 20, "untried " + untried.size());
+        assertTrue(untried.size() >= 20, "untried messages: " + untried.size());
         discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204)
                 : respondWithStatus(503));
         host.respondWith(request -> respondWithStatus(200));
@@ -161,7 +161,7 @@
             Thread.sleep(3500);
             relay.resume();
             for (Socket socket : crowd) {
-                assertTrue(RelayProcess.exchange(socket, "").status() > 0, "a whole request got no answer");
+                assertTrue(RelayProcess.exchange(socket, "").status() > 0, "a complete request got no response");
             }
         } finally {
             for (Socket socket : crowd) {
@@ -187,7 +187,7 @@
         }
         relay.start();
         await(() -> relay.hasSentNotice("waits", "bounced") || relay.hasSentNotice("waits", "dead"));
-        assertFalse(relay.hasSentNotice("waits", "dead"), "it was never sent");
+        assertFalse(relay.hasSentNotice("waits", "dead"), "a message that was never sent was reported dead");
     }
 
     @Test
@@ -219,10 +219,10 @@
             String message = RelayProcess.messageRequest("p1", "safe", 7, 20_000, "hello");
             busy.getOutputStream().write(message.substring(0, message.length() - 2).getBytes());
             relay.terminate();
-            assertEquals(202, relay.submit("p2", "safe", 7), "new connections are served");
-            assertEquals(-1, idle.getInputStream().read(), "the idle connection closes");
+            assertEquals(202, relay.submit("p2", "safe", 7), "new connections must be served");
+            assertEquals(-1, idle.getInputStream().read(), "the idle connection must be closed");
             RelayProcess.Response answer = RelayProcess.exchange(busy, message.substring(message.length() - 2));
-            assertEquals(202, answer.status(), "a request that was begun is answered");
+            assertEquals(202, answer.status(), "a request in progress must be answered");
             assertTrue(answer.head().toLowerCase().contains("connection: close"), answer.head());
         }
         assertTrue(relay.waitForExit());
--- a/src/test/java/drumdeal/relay/RouteStateFileTest.java
+++ b/src/test/java/drumdeal/relay/RouteStateFileTest.java
@@ -43,7 +43,7 @@
         byte[] whole = Files.readAllBytes(file);
         for (int length = 0; length < whole.length; length++) {
             Files.write(file, Arrays.copyOf(whole, length));
-            assertNull(RouteStateFile.read(folder, NOW_MICROS, DISK_LIMIT_BYTES), "of " + length + " bytes");
+            assertNull(RouteStateFile.read(folder, NOW_MICROS, DISK_LIMIT_BYTES), "truncated to " + length + " bytes");
         }
     }
 
--- a/src/test/java/drumdeal/relay/UnansweredNoticeTest.java
+++ b/src/test/java/drumdeal/relay/UnansweredNoticeTest.java
@@ -78,7 +78,7 @@
         timeOutLastCall();
         timeOutLastCall();
         assertTrue(lastCall().sentAtMillis() < NOTICE_DEADLINE_MILLIS - 50,
-                "told again after ms: " + lastCall().sentAtMillis());
+                "time of the third request, in ms: " + lastCall().sentAtMillis());
         assertEquals(3, lastCall().body().lines().count(), lastCall().body());
         lastCall().callback().handle(204, "");
         assertEquals(3, acknowledged.size());
@@ -90,10 +90,11 @@
         for (int times = 0; times < 6; times++) {
             timeOutLastCall();
         }
-        assertTrue(lastCall().timeoutMillis() >= 500, "patience " + lastCall().timeoutMillis());
+        assertTrue(lastCall().timeoutMillis() >= 500, "timeout in ms: " + lastCall().timeoutMillis());
         lastCall().callback().handle(204, "");
         assertEquals(1, acknowledged.size());
         endMessage("bb");
-        assertTrue(lastCall().timeoutMillis() < NOTICE_DEADLINE_MILLIS / 3, "patience " + lastCall().timeoutMillis());
+        assertTrue(lastCall().timeoutMillis() < NOTICE_DEADLINE_MILLIS / 3,
+                "timeout in ms: " + lastCall().timeoutMillis());
     }
 }
--- a/src/test/java/drumdeal/relay/UpgradeTest.java
+++ b/src/test/java/drumdeal/relay/UpgradeTest.java
@@ -50,9 +50,9 @@
                     RelayProcess.exchange(kept, RelayProcess.messageRequest("a1", "safe", 7, 9000, "x")).status());
             successor = relay.createSuccessor().start();
             assertEquals(200, successor.sendAdminRequest("GET", "/healthcheck"));
-            assertEquals(-1, kept.getInputStream().read(), "the kept connection closes");
+            assertEquals(-1, kept.getInputStream().read(), "the idle client connection must be closed");
         }
-        assertTrue(relay.waitForExit(), "nobody has told it to end");
+        assertTrue(relay.waitForExit(), "the older process must exit without a signal");
         assertEquals(202, successor.submit("a2", "safe", 7));
         await(() -> countCalls("a1") == 1 && countCalls("a2") == 1);
     }
@@ -97,7 +97,8 @@
         successor = relay.createSuccessor().start();
         assertTrue(relay.waitForExit());
         await(() -> countCalls("w1") == 2);
-        assertTrue(host.requests.get(1).receivedAtNanos() - refused.get() >= 4_900_000_000L, "the wait was cut short");
+        assertTrue(host.requests.get(1).receivedAtNanos() - refused.get() >= 4_900_000_000L,
+                "the message was sent before the retry delay was over");
         await(() -> successor.fetchStats().contains("\"unsafe\":{\"completed\":1,"));
     }
 
@@ -122,7 +123,7 @@
             requestHandover(asking);
             await(() -> relay.log().contains("another process takes over"));
             assertEquals(202, relay.submit("m1", "safe", 7));
-            assertEquals(0, host.requests.size(), "it decides nothing meanwhile");
+            assertEquals(0, host.requests.size(), "a message was sent while decisions were suspended");
         }
         await(() -> countCalls("m1") == 1);
     }
@@ -171,7 +172,8 @@
             }
             long number = Long.parseLong(first.replace("MESSAGE ", ""));
             writeFrame(asking, Handover.FrameType.MESSAGE_STORED, out -> out.writeLong(number));
-            assertEquals("MESSAGE_RELEASED " + number, readFrame(older), "no more come before one is acknowledged");
+            assertEquals("MESSAGE_RELEASED " + number, readFrame(older),
+                    "a message followed before one was acknowledged");
             assertTrue(readFrame(older).startsWith("MESSAGE "));
         }
     }
@@ -189,7 +191,7 @@
         // Leaves a process folder that no process owns, with a socket that no process listens on.
         relay.kill();
         try (StateFolder.LockedFolder first = StateFolder.tryLock(relay.stateFolder())) {
-            assertTrue(first != null, "nobody owns it");
+            assertTrue(first != null, "the state folder is still locked");
             relay.start();
             relay.kill();
         }
