--- a/src/test/java/drumdeal/relay/AdminTest.java
+++ b/src/test/java/drumdeal/relay/AdminTest.java
@@ -64,13 +64,13 @@
     @Test
     void adminServerAnswersWhileClientsUseAllTheirDescriptors() throws IOException {
         relay.start();
-        List<Socket> crowd = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            crowd.add(relay.connect());
+            clients.add(relay.connect());
         }
         assertEquals(200, relay.sendAdminRequest("GET", "/healthcheck"));
         assertTrue(relay.countOpenDescriptors() <= 256);
-        for (Socket socket : crowd) {
+        for (Socket socket : clients) {
             socket.close();
         }
     }
@@ -109,13 +109,13 @@
     @Test
     void drainingRelayTurnsClientsAwayUntilDrainingIsStopped() throws IOException {
         relay.start();
-        try (Socket kept = relay.connect()) {
-            assertEquals(200, RelayProcess.exchange(kept, READY_REQUEST).status());
+        try (Socket idle = relay.connect()) {
+            assertEquals(200, RelayProcess.exchange(idle, READY_REQUEST).status());
             assertEquals(200, relay.sendAdminRequest("POST", "/healthcheck/fail"));
             assertEquals(503, relay.exchange(READY_REQUEST).status());
             assertEquals(503, relay.sendAdminRequest("GET", "/healthcheck"));
             assertEquals(202, relay.submit("late", "safe", 7), "a client that connects nevertheless must be served");
-            assertTrue(isClosed(kept), "the idle connection must be closed");
+            assertTrue(isClosed(idle), "the idle connection must be closed");
         }
         try (Socket late = relay.connect()) {
             String head = RelayProcess.exchange(late, RelayProcess.messageRequest("l2", "safe", 7, 9000, "x")).head();
--- a/src/test/java/drumdeal/relay/DeadlineMarginTest.java
+++ b/src/test/java/drumdeal/relay/DeadlineMarginTest.java
@@ -55,19 +55,19 @@
      */
     @Test
     void timeLimitIsShortenedByTheMargin() {
-        RequestTerms shorter = DeadlineMargin.shortenDeadline(terms(2 * SECOND, 20 * SECOND), 2 * SECOND);
-        assertEquals(18 * SECOND, shorter.requestClass().timeLimitMicros());
-        assertEquals(12, shorter.maxAttempts());
+        RequestTerms shortened = DeadlineMargin.shortenDeadline(terms(2 * SECOND, 20 * SECOND), 2 * SECOND);
+        assertEquals(18 * SECOND, shortened.requestClass().timeLimitMicros());
+        assertEquals(12, shortened.maxAttempts());
     }
 
     @Test
     void timeLimitStaysAboveAGoalCloseToIt() {
-        RequestTerms shorter = DeadlineMargin.shortenDeadline(terms(19 * SECOND, 20 * SECOND), 2 * SECOND);
-        assertEquals(19 * SECOND + 1, shorter.requestClass().timeLimitMicros());
+        RequestTerms shortened = DeadlineMargin.shortenDeadline(terms(19 * SECOND, 20 * SECOND), 2 * SECOND);
+        assertEquals(19 * SECOND + 1, shortened.requestClass().timeLimitMicros());
     }
 
-    private static RequestTerms terms(long goal, long deadline) {
-        return new RequestTerms(
-                new RequestClass("c", Idempotency.ONCE, KeyScope.ALL, 0, goal, deadline, 1, 0.3, false), 12);
+    private static RequestTerms terms(long goalMicros, long timeLimitMicros) {
+        return new RequestTerms(new RequestClass("c", Idempotency.ONCE, KeyScope.ALL, 0, goalMicros, timeLimitMicros,
+                1, 0.3, false), 12);
     }
 }
--- a/src/test/java/drumdeal/relay/JournalTest.java
+++ b/src/test/java/drumdeal/relay/JournalTest.java
@@ -24,9 +24,9 @@
     @TempDir
     Path folder;
 
-    private static Message createMessage(long number, int bytes) {
+    private static Message createMessage(long number, int bodyBytes) {
         return new Message(number,
-                new Message.Content("id" + number, "safe", "acme", null, 123, 7, new byte[bytes]), null);
+                new Message.Content("id" + number, "safe", "acme", null, 123, 7, new byte[bodyBytes]), null);
     }
 
     /** The unfinished messages that a new journal finds in the folder. */
@@ -57,13 +57,13 @@
                 messages.add(createMessage(i, 8_000));
                 assertTrue(journal.recordAccepted(messages.get(i - 1)));
             }
-            int tried = 0;
-            while (journal.recordAttempt(messages.get(tried % 100).addAttempt("r", 50))) {
-                tried++;
+            int attempts = 0;
+            while (journal.recordAttempt(messages.get(attempts % 100).addAttempt("r", 50))) {
+                attempts++;
             }
             messages.forEach(journal::recordDone);
-            int rewrites = Integer.parseInt(segmentFile().getFileName().toString().replaceAll("\\D", ""));
-            assertTrue(rewrites < 10, "number of compactions: " + rewrites);
+            int compactions = Integer.parseInt(segmentFile().getFileName().toString().replaceAll("\\D", ""));
+            assertTrue(compactions < 10, "number of compactions: " + compactions);
         }
         assertTrue(readAfterReopening().isEmpty());
     }
@@ -102,8 +102,8 @@
             journal.recordAccepted(createMessage(1, 10));
             journal.recordAccepted(createMessage(2, 1000));
         }
-        byte[] all = Files.readAllBytes(segmentFile());
-        Files.write(segmentFile(), Arrays.copyOf(all, all.length - 1));
+        byte[] segment = Files.readAllBytes(segmentFile());
+        Files.write(segmentFile(), Arrays.copyOf(segment, segment.length - 1));
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             assertEquals(1, journal.unfinishedMessages().size());
             assertTrue(journal.recordAccepted(createMessage(3, 10)));
@@ -116,35 +116,35 @@
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             journal.recordAccepted(createMessage(1, 10));
         }
-        byte[] bytes = Files.readAllBytes(segmentFile());
-        bytes[bytes.length - 1] ^= 1;
-        Files.write(segmentFile(), bytes, StandardOpenOption.TRUNCATE_EXISTING);
+        byte[] segment = Files.readAllBytes(segmentFile());
+        segment[segment.length - 1] ^= 1;
+        Files.write(segmentFile(), segment, StandardOpenOption.TRUNCATE_EXISTING);
         assertTrue(readAfterReopening().isEmpty());
     }
 
     @Test
     void folderStaysBelowItsLimitWithTheLargestBodies() throws IOException {
-        ArrayDeque<Message> held = new ArrayDeque<>();
-        int refused = 0;
-        long most = 0;
+        ArrayDeque<Message> unfinished = new ArrayDeque<>();
+        int rejected = 0;
+        long maxUsedBytes = 0;
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             for (int number = 1; number <= 500; number++) {
                 Message message = createMessage(number, 64 << 10);
                 if (journal.recordAccepted(message)) {
-                    held.add(message);
+                    unfinished.add(message);
                     assertTrue(journal.recordAttempt(message.addAttempt("r", 1)));
                 } else {
-                    refused++;
-                    journal.recordDone(held.poll());
+                    rejected++;
+                    journal.recordDone(unfinished.poll());
                 }
-                most = Math.max(most, usedDiskBytes());
+                maxUsedBytes = Math.max(maxUsedBytes, usedDiskBytes());
             }
         }
-        assertTrue(refused > 100, "rejected messages: " + refused);
+        assertTrue(rejected > 100, "rejected messages: " + rejected);
         // The other half is for compaction: until it is done, the new segment, which is no larger than the records
         // of unfinished messages, exists beside the old one.
-        assertTrue(most < 0.5 * DISK_LIMIT_BYTES, "largest size on disk, in bytes: " + most);
-        assertEquals(held.stream().map(m -> m.number).toList(),
+        assertTrue(maxUsedBytes < 0.5 * DISK_LIMIT_BYTES, "largest size on disk, in bytes: " + maxUsedBytes);
+        assertEquals(unfinished.stream().map(m -> m.number).toList(),
                 readAfterReopening().stream().map(m -> m.number).toList());
     }
 
@@ -178,9 +178,9 @@
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             Message message = createMessage(1, 10);
             journal.recordAccepted(message);
-            Message.Attempt lost = message.addAttempt("lost", 1);
-            lost.result = Result.NOT_SENT;
-            journal.recordResult(lost);
+            Message.Attempt unrecorded = message.addAttempt("lost", 1);
+            unrecorded.result = Result.NOT_SENT;
+            journal.recordResult(unrecorded);
             journal.recordAccepted(createMessage(2, 10));
         }
         assertEquals(List.of(1L, 2L), readAfterReopening().stream().map(m -> m.number).toList());
--- a/src/test/java/drumdeal/relay/LargeDeploymentTest.java
+++ b/src/test/java/drumdeal/relay/LargeDeploymentTest.java
@@ -34,18 +34,18 @@
         if (request.requestLine().startsWith("POST")) {
             return respondWithStatus(204);
         }
-        String told = nextListUpdate.getAndSet(null);
-        return told == null
+        String update = nextListUpdate.getAndSet(null);
+        return update == null
                 ? request.requestLine().contains("after=") ? StubPeer.NO_RESPONSE : respondWithStatus(503)
-                : respondWith(200, told);
+                : respondWith(200, update);
     }
 
-    private static String[] targetsJson(IntFunction<String> each) {
-        return IntStream.range(0, ENDPOINT_COUNT).mapToObj(each).toArray(String[]::new);
+    private static String[] targetsJson(IntFunction<String> targetByIndex) {
+        return IntStream.range(0, ENDPOINT_COUNT).mapToObj(targetByIndex).toArray(String[]::new);
     }
 
-    private void awaitMembers(int all, int unavailable) {
-        await(() -> relay.fetchStats().contains("\"members\":" + all + ",\"members_unavailable\":" + unavailable));
+    private void awaitMembers(int total, int unavailable) {
+        await(() -> relay.fetchStats().contains("\"members\":" + total + ",\"members_unavailable\":" + unavailable));
     }
 
     @Test
@@ -78,10 +78,10 @@
     void learnedStateOfAThousandEndpointsIsReadAfterAKill() throws IOException {
         relay.start();
         awaitMembers(ENDPOINT_COUNT, 0);
-        FileTime before = FileTime.fromMillis(System.currentTimeMillis());
+        FileTime earliestWrite = FileTime.fromMillis(System.currentTimeMillis());
         await(() -> {
             try {
-                return Files.getLastModifiedTime(relay.stateFolder().resolve("health")).compareTo(before) > 0;
+                return Files.getLastModifiedTime(relay.stateFolder().resolve("health")).compareTo(earliestWrite) > 0;
             } catch (IOException e) {
                 return false;
             }
--- a/src/test/java/drumdeal/relay/LogTest.java
+++ b/src/test/java/drumdeal/relay/LogTest.java
@@ -10,16 +10,16 @@
 class LogTest {
     @Test
     void linesPerSecondAreLimited() {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        PrintStream before = System.err;
-        System.setErr(new PrintStream(bytes, true));
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        PrintStream originalErr = System.err;
+        System.setErr(new PrintStream(output, true));
         try {
             for (int i = 0; i < 10_000; i++) {
                 Log.write("line " + i);
             }
         } finally {
-            System.setErr(before);
+            System.setErr(originalErr);
         }
-        assertTrue(bytes.toString().lines().count() < 1_000, bytes.toString());
+        assertTrue(output.toString().lines().count() < 1_000, output.toString());
     }
 }
--- a/src/test/java/drumdeal/relay/NoticeSenderTest.java
+++ b/src/test/java/drumdeal/relay/NoticeSenderTest.java
@@ -18,8 +18,8 @@
         prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(StubPeer.CLOSE_CONNECTION));
     }
 
-    private void answerNotices(Function<StubPeer.Request, String> answers) {
-        discovery.respondWith(request -> request.requestLine().startsWith("POST /status") ? answers.apply(request)
+    private void answerNotices(Function<StubPeer.Request, String> responder) {
+        discovery.respondWith(request -> request.requestLine().startsWith("POST /status") ? responder.apply(request)
                 : StubPeer.NO_RESPONSE);
     }
 
--- a/src/test/java/drumdeal/relay/RelayProcess.java
+++ b/src/test/java/drumdeal/relay/RelayProcess.java
@@ -83,15 +83,15 @@
      * it beside this one during an upgrade.
      */
     RelayProcess createSuccessor() {
-        Matcher at = SERVING_LINE.matcher(log());
-        if (!at.find()) {
+        Matcher address = SERVING_LINE.matcher(log());
+        if (!address.find()) {
             throw new IllegalStateException("the relay does not serve clients, its log: " + log());
         }
-        RelayProcess next = new RelayProcess(folder, discovery);
-        next.targets.addAll(targets);
-        next.listenAddress = at.group(1) + ":" + at.group(2);
-        next.logNamePrefix = logNamePrefix + "-next";
-        return next;
+        RelayProcess successor = new RelayProcess(folder, discovery);
+        successor.targets.addAll(targets);
+        successor.listenAddress = address.group(1) + ":" + address.group(2);
+        successor.logNamePrefix = logNamePrefix + "-next";
+        return successor;
     }
 
     /** Sets the disk limit of the configuration, in MB. */
@@ -107,14 +107,14 @@
     }
 
     /** Sets an edit of the configuration text that applies from the next start or reload on. */
-    RelayProcess editConfiguration(UnaryOperator<String> next) {
-        configurationEdit = next;
+    RelayProcess editConfiguration(UnaryOperator<String> edit) {
+        configurationEdit = edit;
         return this;
     }
 
     /** Sets the system's limit on open file descriptors of the relay, independent of its configuration. */
-    RelayProcess descriptorLimit(int most) {
-        descriptorLimit = most;
+    RelayProcess descriptorLimit(int limit) {
+        descriptorLimit = limit;
         return this;
     }
 
@@ -141,15 +141,15 @@
     }
 
     /** Writes a configuration with another discovery and makes the relay reload it (SIGHUP). */
-    void moveDiscovery(StubPeer next) throws IOException {
-        discovery = next;
+    void moveDiscovery(StubPeer newDiscovery) throws IOException {
+        discovery = newDiscovery;
         writeConfiguration();
         sendHangUpSignal();
     }
 
     /** Writes an edited configuration and makes the relay reload it (SIGHUP). */
-    void reconfigure(UnaryOperator<String> next) throws IOException {
-        editConfiguration(next).writeConfiguration();
+    void reconfigure(UnaryOperator<String> edit) throws IOException {
+        editConfiguration(edit).writeConfiguration();
         sendHangUpSignal();
     }
 
@@ -160,16 +160,16 @@
     /** Stops the process with SIGSTOP until {@link #resume()}, like a machine that has no CPU time for it. */
     void pause() throws IOException {
         sendSignal("STOP");
-        Path state = Path.of("/proc/" + process.pid() + "/stat");
-        await(() -> read(state).contains(") T "));
+        Path statFile = Path.of("/proc/" + process.pid() + "/stat");
+        await(() -> read(statFile).contains(") T "));
     }
 
     void resume() throws IOException {
         sendSignal("CONT");
     }
 
-    private void sendSignal(String name) throws IOException {
-        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start();
+    private void sendSignal(String signal) throws IOException {
+        new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start();
     }
 
     /** Starts the process and waits until it serves clients. */
@@ -252,29 +252,29 @@
         return connect(ADMIN_LINE);
     }
 
-    private Socket connect(Pattern line) throws IOException {
-        Matcher at = line.matcher(log());
-        if (!at.find()) {
+    private Socket connect(Pattern addressLine) throws IOException {
+        Matcher address = addressLine.matcher(log());
+        if (!address.find()) {
             throw new IOException("the relay does not serve clients, its log: " + log());
         }
-        Socket socket = new Socket(at.group(1), Integer.parseInt(at.group(2)));
+        Socket socket = new Socket(address.group(1), Integer.parseInt(address.group(2)));
         socket.setSoTimeout(TIMEOUT_SECONDS * 1000);
         return socket;
     }
 
     /** Submits a message with a time budget of 20 s and returns the status code of the response. */
-    int submit(String id, String type, int destination) throws IOException {
-        return submit(id, type, destination, 20_000, "hello");
+    int submit(String id, String requestClass, int destination) throws IOException {
+        return submit(id, requestClass, destination, 20_000, "hello");
     }
 
-    int submit(String id, String type, int destination, int budgetMs, String body) throws IOException {
-        return exchange(messageRequest(id, type, destination, budgetMs, body)).status();
+    int submit(String id, String requestClass, int destination, int budgetMillis, String body) throws IOException {
+        return exchange(messageRequest(id, requestClass, destination, budgetMillis, body)).status();
     }
 
     /** The request that submits a message; its idempotency key is {@code key-} and the id. */
-    static String messageRequest(String id, String type, int destination, int budgetMs, String body) {
-        return "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: " + id + "\r\nX-Call-Class: " + type
-                + "\r\nX-Caller: acme\r\nX-Budget-Ms: " + budgetMs + "\r\nIdempotency-Key: key-" + id
+    static String messageRequest(String id, String requestClass, int destination, int budgetMillis, String body) {
+        return "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: " + id + "\r\nX-Call-Class: " + requestClass
+                + "\r\nX-Caller: acme\r\nX-Budget-Ms: " + budgetMillis + "\r\nIdempotency-Key: key-" + id
                 + "\r\nContent-Length: " + body.length() + "\r\nX-Consignee: dest=" + destination
                 + "\r\n\r\n" + body;
     }
@@ -322,8 +322,8 @@
     }
 
     /** The messages that are unfinished in the journal of one process folder. */
-    List<Message> readOpenMessages(Path part) {
-        try (var files = Files.list(part)) {
+    List<Message> readOpenMessages(Path processFolder) {
+        try (var files = Files.list(processFolder)) {
             Path copy = Files.createDirectories(folder.resolve("copy"));
             for (Path file : files.filter(f -> f.getFileName().toString().startsWith("journal-")).toList()) {
                 Files.copy(file, copy.resolve(file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
@@ -342,9 +342,9 @@
 
     /** Polls until the condition holds; fails the test after 30 s. */
     static void await(BooleanSupplier condition) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > end) {
+            if (System.nanoTime() > deadline) {
                 throw new AssertionError("condition not met in time");
             }
             try {
--- a/src/test/java/drumdeal/relay/ReloadTest.java
+++ b/src/test/java/drumdeal/relay/ReloadTest.java
@@ -32,40 +32,40 @@
         relay.start();
         assertEquals(202, relay.submit("m0", "safe", 7));
         await(() -> host.countRequests("POST") == 1);
-        String same = targetJson("h1", 7, "one", "in_service", host.address()).replace("1.0", "2.0");
-        try (StubPeer second = createDiscovery(targetListJson(1, true, same));
-                StubPeer other = StubPeer.always(respondWithStatus(200));
-                StubPeer third = createDiscovery(targetListJson(0, true,
-                        targetJson("h2", 7, "one", "in_service", other.address())))) {
-            relay.moveDiscovery(second);
-            await(() -> second.countRequests("GET /api/targets?after=1&") > 0);
+        String changedTarget = targetJson("h1", 7, "one", "in_service", host.address()).replace("1.0", "2.0");
+        try (StubPeer secondDiscovery = createDiscovery(targetListJson(1, true, changedTarget));
+                StubPeer otherHost = StubPeer.always(respondWithStatus(200));
+                StubPeer thirdDiscovery = createDiscovery(targetListJson(0, true,
+                        targetJson("h2", 7, "one", "in_service", otherHost.address())))) {
+            relay.moveDiscovery(secondDiscovery);
+            await(() -> secondDiscovery.countRequests("GET /api/targets?after=1&") > 0);
             assertEquals(202, relay.submit("m1", "safe", 7));
             await(() -> host.countRequests("POST") == 2);
             assertEquals(1, host.connections.size(), "connections to a host at an unchanged address must be kept");
-            relay.moveDiscovery(third);
-            await(() -> third.countRequests("GET /api/targets?after=0&") > 0);
-            assertEquals("GET /api/targets HTTP/1.1", third.requests.get(0).requestLine());
+            relay.moveDiscovery(thirdDiscovery);
+            await(() -> thirdDiscovery.countRequests("GET /api/targets?after=0&") > 0);
+            assertEquals("GET /api/targets HTTP/1.1", thirdDiscovery.requests.get(0).requestLine());
             assertEquals(202, relay.submit("m2", "safe", 7));
-            await(() -> other.countRequests("POST") == 1);
+            await(() -> otherHost.countRequests("POST") == 1);
         }
     }
 
     @Test
     void relayWaitsForAListThatTheNewDiscoverySendsSlowly() throws IOException {
         relay.start();
-        try (StubPeer other = StubPeer.always(respondWithStatus(200));
-                StubPeer next = new StubPeer(request -> {
+        try (StubPeer otherHost = StubPeer.always(respondWithStatus(200));
+                StubPeer newDiscovery = new StubPeer(request -> {
                     if (request.requestLine().contains("after=")) {
                         return StubPeer.NO_RESPONSE;
                     }
                     sleep(1000);
                     return respondWith(200, targetListJson(1, true,
-                            targetJson("h2", 7, "one", "in_service", other.address())));
+                            targetJson("h2", 7, "one", "in_service", otherHost.address())));
                 })) {
-            relay.moveDiscovery(next);
-            await(() -> next.countRequests("GET /api/targets?after=1&") > 0);
+            relay.moveDiscovery(newDiscovery);
+            await(() -> newDiscovery.countRequests("GET /api/targets?after=1&") > 0);
             assertEquals(202, relay.submit("m3", "safe", 7));
-            await(() -> other.countRequests("POST") == 1);
+            await(() -> otherHost.countRequests("POST") == 1);
         }
     }
 
@@ -83,8 +83,8 @@
         host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
         relay.start().submit("u1", "unsafe", 7);
         await(() -> relay.hasSentNotice("u1", "dead"));
-        try (StubPeer next = RelayProcess.discoveryWithoutChanges()) {
-            relay.moveDiscovery(next);
+        try (StubPeer newDiscovery = RelayProcess.discoveryWithoutChanges()) {
+            relay.moveDiscovery(newDiscovery);
             await(() -> relay.hasSentNotice("u1", "dead"));
             await(() -> relay.readOpenMessages().isEmpty());
             relay.terminate();
@@ -136,7 +136,7 @@
     @Test
     void truncatedOrInvalidFileChangesNothing() throws IOException {
         relay.start();
-        List<UnaryOperator<String>> broken = List.of(text -> "", text -> text.substring(0, text.length() - 1),
+        List<UnaryOperator<String>> invalidEdits = List.of(text -> "", text -> text.substring(0, text.length() - 1),
                 text -> text + "}", text -> text.replace("\"fees\":{}", "\"other\":{}"),
                 text -> text.replace("\"deadline-s\":20", "\"deadline-s\":0"),
                 text -> text.replace("\"deadline-s\":20", "\"deadline-s\":-20"),
@@ -144,11 +144,11 @@
                 text -> text.replace("\"send-cap\":12,", ""), text -> text.replace(",\"worth\":1}", "}"),
                 text -> text.replace("\"send-cap\":12", "\"send-cap\":0"),
                 text -> text.replace("\"zones\":[\"a\"],", ""), text -> text.replace("\"accounts\"", "\"users\""));
-        for (int i = 0; i < broken.size(); i++) {
-            UnaryOperator<String> spoil = broken.get(i);
-            relay.reconfigure(text -> spoil.apply(withLateClass(text)));
-            String errors = "\"config_reloads\":0,\"config_reload_errors\":" + (i + 1) + "}";
-            await(() -> relay.fetchStats().contains(errors));
+        for (int i = 0; i < invalidEdits.size(); i++) {
+            UnaryOperator<String> invalidEdit = invalidEdits.get(i);
+            relay.reconfigure(text -> invalidEdit.apply(withLateClass(text)));
+            String expectedStats = "\"config_reloads\":0,\"config_reload_errors\":" + (i + 1) + "}";
+            await(() -> relay.fetchStats().contains(expectedStats));
         }
         assertEquals(400, relay.submit("b1", "late", 7), "no part of an invalid configuration may be applied");
         assertEquals(202, relay.submit("b2", "safe", 7));
@@ -163,9 +163,9 @@
         assertEquals(202, relay.submit("o1", "unsafe", 7));
         assertEquals(202, relay.submit("o2", "safe", 7));
         await(() -> host.countRequests("POST") == 2);
-        UnaryOperator<String> dropped = text -> text.replace("\"name\":\"unsafe\"", "\"name\":\"other\"")
+        UnaryOperator<String> changeClasses = text -> text.replace("\"name\":\"unsafe\"", "\"name\":\"other\"")
                 .replace("\"name\":\"safe\",\"repeat\":\"repeatable\"", "\"name\":\"safe\",\"repeat\":\"once\"");
-        relay.reconfigure(dropped);
+        relay.reconfigure(changeClasses);
         await(() -> relay.fetchStats().contains("\"config_reloads\":1,"));
         relay.kill();
         host.respondWith(request -> respondWithStatus(200));
--- a/src/test/java/drumdeal/relay/RequestClassRegistryTest.java
+++ b/src/test/java/drumdeal/relay/RequestClassRegistryTest.java
@@ -14,26 +14,26 @@
 class RequestClassRegistryTest {
     private static final long AFTER_CHANGEOVER_MICROS = 100_000 + RequestClassRegistry.CHANGEOVER_MICROS;
 
-    private static Policy.Settings settings(int attempts, Policy.RequestClass... classes) {
+    private static Policy.Settings settings(int maxAttempts, Policy.RequestClass... classes) {
         return new Policy.Settings(1, 0, 1, "a", List.of(classes), List.of(), List.of(), List.of(),
-                new Policy.Limits(1, 1, attempts, true, false, false, true, true, 0),
+                new Policy.Limits(1, 1, maxAttempts, true, false, false, true, true, 0),
                 new Policy.ServiceRules(0, 0, 2, 0, 0, 0, 0, 0), 1, false, false, Policy.RateHint.NONE, 0);
     }
 
-    private static Policy.RequestClass requestClass(String name, Idempotency repeat) {
-        return new Policy.RequestClass(name, repeat, KeyScope.ALL, 10, 1, 2, 1, 0, false);
+    private static Policy.RequestClass requestClass(String name, Idempotency idempotency) {
+        return new Policy.RequestClass(name, idempotency, KeyScope.ALL, 10, 1, 2, 1, 0, false);
     }
 
-    private static Message.Content content(String type, String key) {
-        return new Message.Content("id", type, null, key, 0, 7, new byte[0]);
+    private static Message.Content content(String requestClass, String key) {
+        return new Message.Content("id", requestClass, null, key, 0, 7, new byte[0]);
     }
 
     private static RequestClassRegistry createChangedClasses() {
-        RequestClassRegistry classes = new RequestClassRegistry(
+        RequestClassRegistry registry = new RequestClassRegistry(
                 settings(12, requestClass("c", Idempotency.ONCE), requestClass("gone", Idempotency.ONCE)));
-        classes.update(settings(4, requestClass("c", Idempotency.REPEATABLE), requestClass("new", Idempotency.BY_KEY)),
+        registry.update(settings(4, requestClass("c", Idempotency.REPEATABLE), requestClass("new", Idempotency.BY_KEY)),
                 100_000);
-        return classes;
+        return registry;
     }
 
     @Test
@@ -41,8 +41,9 @@
         assertEquals(Idempotency.ONCE,
                 createChangedClasses().termsFor(content("c", null), 100_001).requestClass().idempotency());
         assertEquals(4, createChangedClasses().termsFor(content("c", null), 100_001).maxAttempts());
-        assertEquals(Idempotency.REPEATABLE, createChangedClasses().termsFor(content("c", null), AFTER_CHANGEOVER_MICROS)
-                .requestClass().idempotency());
+        assertEquals(Idempotency.REPEATABLE,
+                createChangedClasses().termsFor(content("c", null), AFTER_CHANGEOVER_MICROS)
+                        .requestClass().idempotency());
     }
 
     @Test
@@ -60,18 +61,18 @@
 
     @Test
     void messageWithoutANewlyRequiredKeyIsAcceptedAsAtMostOnce() {
-        RequestClassRegistry classes = new RequestClassRegistry(
+        RequestClassRegistry registry = new RequestClassRegistry(
                 settings(12, requestClass("c", Idempotency.REPEATABLE)));
-        classes.update(settings(12, requestClass("c", Idempotency.BY_KEY)), 100_000);
-        assertEquals(Idempotency.ONCE, classes.termsFor(content("c", null), 100_001).requestClass().idempotency());
-        assertEquals(Idempotency.BY_KEY, classes.termsFor(content("c", "k"), 100_001).requestClass().idempotency());
-        assertNull(classes.termsFor(content("c", null), AFTER_CHANGEOVER_MICROS));
+        registry.update(settings(12, requestClass("c", Idempotency.BY_KEY)), 100_000);
+        assertEquals(Idempotency.ONCE, registry.termsFor(content("c", null), 100_001).requestClass().idempotency());
+        assertEquals(Idempotency.BY_KEY, registry.termsFor(content("c", "k"), 100_001).requestClass().idempotency());
+        assertNull(registry.termsFor(content("c", null), AFTER_CHANGEOVER_MICROS));
     }
 
     @Test
     void classWhoseGoalIsCloseToItsDeadlineIsAccepted() {
-        RequestClassRegistry classes = new RequestClassRegistry(settings(12, new Policy.RequestClass(
+        RequestClassRegistry registry = new RequestClassRegistry(settings(12, new Policy.RequestClass(
                 "close", Idempotency.ONCE, KeyScope.ALL, 0, 9_500_000, 10_000_000, 1, 0.3, false)));
-        assertEquals(10_000_000, classes.termsFor(content("close", null), 0).requestClass().timeLimitMicros());
+        assertEquals(10_000_000, registry.termsFor(content("close", null), 0).requestClass().timeLimitMicros());
     }
 }
--- a/src/test/java/drumdeal/relay/RestartTest.java
+++ b/src/test/java/drumdeal/relay/RestartTest.java
@@ -23,8 +23,8 @@
     }
 
     /** Kills the relay while a call with the message is in flight, and restarts it. */
-    private void killAndRestartWith(String id, String type) throws IOException {
-        assertEquals(202, relay.start().submit(id, type, 7));
+    private void killAndRestartWith(String id, String requestClass) throws IOException {
+        assertEquals(202, relay.start().submit(id, requestClass, 7));
         await(() -> host.requests.size() == 1);
         relay.kill();
         host.respondWith(request -> respondWithStatus(200));
@@ -145,7 +145,7 @@
     @Test
     void gracefulStopAnswersRequestsThatArrivedWhileTheProcessWasPaused() throws IOException, InterruptedException {
         relay.start();
-        List<Socket> crowd = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         try (Socket unfinished = relay.connect()) {
             // An incomplete request keeps the relay running until it is paused.
             unfinished.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
@@ -154,17 +154,17 @@
             relay.pause();
             for (int i = 0; i < 90; i++) {
                 Socket socket = relay.connect();
-                crowd.add(socket);
+                clients.add(socket);
                 socket.getOutputStream()
                         .write(RelayProcess.messageRequest("c" + i, "safe", 7, 20_000, "hello").getBytes());
             }
             Thread.sleep(3500);
             relay.resume();
-            for (Socket socket : crowd) {
+            for (Socket socket : clients) {
                 assertTrue(RelayProcess.exchange(socket, "").status() > 0, "a complete request got no response");
             }
         } finally {
-            for (Socket socket : crowd) {
+            for (Socket socket : clients) {
                 socket.close();
             }
         }
@@ -196,10 +196,10 @@
         // On a busy machine a client may reconnect too late; then another one is tried.
         for (int tries = 0; tries < 5 && !served; tries++) {
             relay.start();
-            try (Socket kept = relay.connect()) {
-                RelayProcess.exchange(kept, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+            try (Socket idle = relay.connect()) {
+                RelayProcess.exchange(idle, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
                 relay.terminate();
-                assertEquals(-1, kept.getInputStream().read());
+                assertEquals(-1, idle.getInputStream().read());
                 Thread.sleep(100);
                 served = relay.submit("again" + tries, "safe", 7) == 202;
             } catch (ConnectException e) {
@@ -221,14 +221,14 @@
             relay.terminate();
             assertEquals(202, relay.submit("p2", "safe", 7), "new connections must be served");
             assertEquals(-1, idle.getInputStream().read(), "the idle connection must be closed");
-            RelayProcess.Response answer = RelayProcess.exchange(busy, message.substring(message.length() - 2));
-            assertEquals(202, answer.status(), "a request in progress must be answered");
-            assertTrue(answer.head().toLowerCase().contains("connection: close"), answer.head());
+            RelayProcess.Response response = RelayProcess.exchange(busy, message.substring(message.length() - 2));
+            assertEquals(202, response.status(), "a request in progress must be answered");
+            assertTrue(response.head().toLowerCase().contains("connection: close"), response.head());
         }
         assertTrue(relay.waitForExit());
         host.respondWith(request -> respondWithStatus(200));
-        int before = host.requests.size();
+        int requestsBefore = host.requests.size();
         relay.start();
-        await(() -> host.requests.stream().skip(before).map(StubPeer.Request::callId).distinct().count() == 2);
+        await(() -> host.requests.stream().skip(requestsBefore).map(StubPeer.Request::callId).distinct().count() == 2);
     }
 }
--- a/src/test/java/drumdeal/relay/RouteStateFileTest.java
+++ b/src/test/java/drumdeal/relay/RouteStateFileTest.java
@@ -40,9 +40,9 @@
     @Test
     void truncatedFileIsIgnored() throws IOException {
         Path file = writeRouteStateFile();
-        byte[] whole = Files.readAllBytes(file);
-        for (int length = 0; length < whole.length; length++) {
-            Files.write(file, Arrays.copyOf(whole, length));
+        byte[] complete = Files.readAllBytes(file);
+        for (int length = 0; length < complete.length; length++) {
+            Files.write(file, Arrays.copyOf(complete, length));
             assertNull(RouteStateFile.read(folder, NOW_MICROS, DISK_LIMIT_BYTES), "truncated to " + length + " bytes");
         }
     }
@@ -69,10 +69,10 @@
             relay.submit("f" + i, "unsafe", 7);
         }
         await(() -> relay.log().contains("out: h1"));
-        long at = System.currentTimeMillis();
+        long openedAtMillis = System.currentTimeMillis();
         await(() -> {
             try {
-                return Files.getLastModifiedTime(relay.stateFolder().resolve("health")).toMillis() > at;
+                return Files.getLastModifiedTime(relay.stateFolder().resolve("health")).toMillis() > openedAtMillis;
             } catch (IOException e) {
                 return false;
             }
--- a/src/test/java/drumdeal/relay/StubPeer.java
+++ b/src/test/java/drumdeal/relay/StubPeer.java
@@ -39,15 +39,15 @@
     private final ServerSocket serverSocket;
     private volatile Function<Request, String> responder;
 
-    StubPeer(Function<Request, String> answers) throws IOException {
-        this.responder = answers;
+    StubPeer(Function<Request, String> responder) throws IOException {
+        this.responder = responder;
         serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         startDaemon(this::accept);
     }
 
     /** A peer that gives the same response to every request. */
-    static StubPeer always(String answer) throws IOException {
-        return new StubPeer(request -> answer);
+    static StubPeer always(String response) throws IOException {
+        return new StubPeer(request -> response);
     }
 
     static String respondWithStatus(int code, String... headers) {
@@ -63,8 +63,8 @@
     }
 
     /** Replaces the responder, also for connections that are open. */
-    void respondWith(Function<Request, String> next) {
-        responder = next;
+    void respondWith(Function<Request, String> newResponder) {
+        responder = newResponder;
     }
 
     String address() {
@@ -72,8 +72,8 @@
     }
 
     /** The number of requests so far whose request line starts with the text. */
-    long countRequests(String start) {
-        return requests.stream().filter(r -> r.requestLine().startsWith(start)).count();
+    long countRequests(String prefix) {
+        return requests.stream().filter(r -> r.requestLine().startsWith(prefix)).count();
     }
 
     /** Returns whether a message with this call id has arrived, once or more often. */
@@ -89,8 +89,8 @@
         }
     }
 
-    private static void startDaemon(Runnable work) {
-        Thread thread = new Thread(work);
+    private static void startDaemon(Runnable task) {
+        Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
     }
@@ -112,12 +112,12 @@
             InputStream in = new BufferedInputStream(socket.getInputStream());
             for (Request request = readRequest(in); request != null; request = readRequest(in)) {
                 requests.add(request);
-                String answer = responder.apply(request);
-                if (answer.equals(CLOSE_CONNECTION)) {
+                String response = responder.apply(request);
+                if (response.equals(CLOSE_CONNECTION)) {
                     return;
                 }
-                if (!answer.equals(NO_RESPONSE)) {
-                    socket.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
+                if (!response.equals(NO_RESPONSE)) {
+                    socket.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
                 }
             }
         } catch (IOException e) {
@@ -127,18 +127,18 @@
 
     /** Reads the next request; null at the end of the stream. */
     private static Request readRequest(InputStream in) throws IOException {
-        String line = readLine(in);
-        if (line.isEmpty()) {
+        String requestLine = readLine(in);
+        if (requestLine.isEmpty()) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
         for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
-            String[] halves = header.split(": ?", 2);
-            headers.put(halves[0].toLowerCase(Locale.ROOT), halves[1]);
+            String[] nameAndValue = header.split(": ?", 2);
+            headers.put(nameAndValue[0].toLowerCase(Locale.ROOT), nameAndValue[1]);
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         String body = new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
-        return new Request(line, headers, body, System.nanoTime());
+        return new Request(requestLine, headers, body, System.nanoTime());
     }
 
     private static String readLine(InputStream in) throws IOException {
--- a/src/test/java/drumdeal/relay/UnansweredNoticeTest.java
+++ b/src/test/java/drumdeal/relay/UnansweredNoticeTest.java
@@ -31,13 +31,13 @@
         embeddedChannel.freezeTime();
         notices = new NoticeSender(embeddedChannel.eventLoop(), new Discovery.Agent() {
             @Override
-            public void request(HttpMethod method, String path, String body, long timeoutMs,
-                    AgentClient.ResponseHandler answer) {
-                calls.add(new NoticeCall(nowMillis, body, timeoutMs, answer));
+            public void request(HttpMethod method, String path, String body, long timeoutMillis,
+                    AgentClient.ResponseHandler callback) {
+                calls.add(new NoticeCall(nowMillis, body, timeoutMillis, callback));
             }
 
             @Override
-            public void moveTo(InetSocketAddress next) { }
+            public void moveTo(InetSocketAddress address) { }
         }, acknowledged::add);
     }
 
@@ -61,11 +61,11 @@
 
     /** Lets the last request time out and waits for the next one. */
     private void timeOutLastCall() {
-        int before = calls.size();
-        NoticeCall silent = lastCall();
-        advanceMillis(silent.timeoutMillis());
-        silent.callback().handle(AgentClient.TIMED_OUT, "");
-        while (calls.size() == before) {
+        int callsBefore = calls.size();
+        NoticeCall unanswered = lastCall();
+        advanceMillis(unanswered.timeoutMillis());
+        unanswered.callback().handle(AgentClient.TIMED_OUT, "");
+        while (calls.size() == callsBefore) {
             advanceMillis(1);
         }
     }
@@ -87,7 +87,7 @@
     @Test
     void timeoutGrowsForASlowAgentUntilItAnswers() {
         endMessage("a");
-        for (int times = 0; times < 6; times++) {
+        for (int i = 0; i < 6; i++) {
             timeOutLastCall();
         }
         assertTrue(lastCall().timeoutMillis() >= 500, "timeout in ms: " + lastCall().timeoutMillis());
--- a/src/test/java/drumdeal/relay/UpgradeTest.java
+++ b/src/test/java/drumdeal/relay/UpgradeTest.java
@@ -45,12 +45,12 @@
     void newerProcessServesAndTheOlderExitsByItself() throws IOException, InterruptedException {
         host.respondWith(request -> respondWithStatus(200));
         relay.start();
-        try (Socket kept = relay.connect()) {
+        try (Socket idle = relay.connect()) {
             assertEquals(202,
-                    RelayProcess.exchange(kept, RelayProcess.messageRequest("a1", "safe", 7, 9000, "x")).status());
+                    RelayProcess.exchange(idle, RelayProcess.messageRequest("a1", "safe", 7, 9000, "x")).status());
             successor = relay.createSuccessor().start();
             assertEquals(200, successor.sendAdminRequest("GET", "/healthcheck"));
-            assertEquals(-1, kept.getInputStream().read(), "the idle client connection must be closed");
+            assertEquals(-1, idle.getInputStream().read(), "the idle client connection must be closed");
         }
         assertTrue(relay.waitForExit(), "the older process must exit without a signal");
         assertEquals(202, successor.submit("a2", "safe", 7));
@@ -59,10 +59,10 @@
 
     @Test
     void callInFlightIsFinishedByTheOlderProcessAndNotSentAgain() throws IOException, InterruptedException {
-        CountDownLatch served = new CountDownLatch(1);
+        CountDownLatch mayRespond = new CountDownLatch(1);
         host.respondWith(request -> {
             try {
-                served.await();
+                mayRespond.await();
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
@@ -73,7 +73,7 @@
         await(() -> countCalls("u1") == 1);
         successor = relay.createSuccessor().start();
         assertTrue(relay.isAlive());
-        served.countDown();
+        mayRespond.countDown();
         assertTrue(relay.waitForExit());
         await(() -> successor.log().contains("serving on"));
         assertEquals(202, successor.submit("u2", "unsafe", 7));
@@ -84,9 +84,9 @@
 
     @Test
     void waitingMessageIsSentByTheNewerProcessAfterItsRetryDelay() throws IOException, InterruptedException {
-        AtomicLong refused = new AtomicLong();
+        AtomicLong refusedAtNanos = new AtomicLong();
         host.respondWith(request -> {
-            refused.set(System.nanoTime());
+            refusedAtNanos.set(System.nanoTime());
             return respondWithStatus(429, "X-Come-Back-Ms: 5000");
         });
         relay.start();
@@ -97,7 +97,7 @@
         successor = relay.createSuccessor().start();
         assertTrue(relay.waitForExit());
         await(() -> countCalls("w1") == 2);
-        assertTrue(host.requests.get(1).receivedAtNanos() - refused.get() >= 4_900_000_000L,
+        assertTrue(host.requests.get(1).receivedAtNanos() - refusedAtNanos.get() >= 4_900_000_000L,
                 "the message was sent before the retry delay was over");
         await(() -> successor.fetchStats().contains("\"unsafe\":{\"completed\":1,"));
     }
@@ -119,8 +119,8 @@
     @Test
     void olderProcessResumesIfTheNewerOneEndsBeforeItListens() throws IOException, InterruptedException {
         relay.start();
-        try (var asking = SocketChannel.open(Handover.socketAddress(relay.stateFolder()))) {
-            requestHandover(asking);
+        try (var toOlder = SocketChannel.open(Handover.socketAddress(relay.stateFolder()))) {
+            requestHandover(toOlder);
             await(() -> relay.log().contains("another process takes over"));
             assertEquals(202, relay.submit("m1", "safe", 7));
             assertEquals(0, host.requests.size(), "a message was sent while decisions were suspended");
@@ -129,25 +129,25 @@
     }
 
     /** Requests a handover, as a newer process does. */
-    static void requestHandover(SocketChannel older) throws IOException {
-        writeFrame(older, Handover.FrameType.TAKEOVER_REQUEST, out -> out.writeInt(Handover.VERSION));
+    static void requestHandover(SocketChannel channel) throws IOException {
+        writeFrame(channel, Handover.FrameType.TAKEOVER_REQUEST, out -> out.writeInt(Handover.VERSION));
     }
 
-    private static void writeFrame(SocketChannel older, Handover.FrameType word, Handover.PayloadWriter payload)
+    private static void writeFrame(SocketChannel channel, Handover.FrameType type, Handover.PayloadWriter payload)
             throws IOException {
         byte[] frame = Handover.toBytes(out -> {
-            out.writeByte(word.ordinal());
+            out.writeByte(type.ordinal());
             payload.write(out);
         });
-        older.write(ByteBuffer.wrap(Handover.toBytes(out -> {
+        channel.write(ByteBuffer.wrap(Handover.toBytes(out -> {
             out.writeInt(frame.length);
             out.write(frame);
         })));
     }
 
     /** Reads the next frame: its type and the first eight bytes after it as a number, with a space between. */
-    private static String readFrame(DataInputStream older) throws IOException {
-        byte[] frame = older.readNBytes(older.readInt());
+    private static String readFrame(DataInputStream in) throws IOException {
+        byte[] frame = in.readNBytes(in.readInt());
         return Handover.FrameType.values()[frame[0]] + " " + ByteBuffer.wrap(frame).getLong(1);
     }
 
@@ -161,20 +161,20 @@
         for (int i = 1; i <= 20; i++) {
             assertEquals(202, relay.submit("m" + i, "safe", 7));
         }
-        try (var asking = SocketChannel.open(Handover.socketAddress(relay.stateFolder()))) {
-            DataInputStream older = new DataInputStream(Channels.newInputStream(asking));
-            requestHandover(asking);
-            assertTrue(readFrame(older).startsWith("SNAPSHOT "));
-            writeFrame(asking, Handover.FrameType.LISTENING, out -> { });
-            String first = readFrame(older);
+        try (var toOlder = SocketChannel.open(Handover.socketAddress(relay.stateFolder()))) {
+            DataInputStream fromOlder = new DataInputStream(Channels.newInputStream(toOlder));
+            requestHandover(toOlder);
+            assertTrue(readFrame(fromOlder).startsWith("SNAPSHOT "));
+            writeFrame(toOlder, Handover.FrameType.LISTENING, out -> { });
+            String first = readFrame(fromOlder);
             for (int i = 1; i < 16; i++) {
-                assertTrue(readFrame(older).startsWith("MESSAGE "));
+                assertTrue(readFrame(fromOlder).startsWith("MESSAGE "));
             }
             long number = Long.parseLong(first.replace("MESSAGE ", ""));
-            writeFrame(asking, Handover.FrameType.MESSAGE_STORED, out -> out.writeLong(number));
-            assertEquals("MESSAGE_RELEASED " + number, readFrame(older),
+            writeFrame(toOlder, Handover.FrameType.MESSAGE_STORED, out -> out.writeLong(number));
+            assertEquals("MESSAGE_RELEASED " + number, readFrame(fromOlder),
                     "a message followed before one was acknowledged");
-            assertTrue(readFrame(older).startsWith("MESSAGE "));
+            assertTrue(readFrame(fromOlder).startsWith("MESSAGE "));
         }
     }
 
@@ -190,8 +190,8 @@
         await(() -> countCalls("d1") == 2);
         // Leaves a process folder that no process owns, with a socket that no process listens on.
         relay.kill();
-        try (StateFolder.LockedFolder first = StateFolder.tryLock(relay.stateFolder())) {
-            assertTrue(first != null, "the state folder is still locked");
+        try (StateFolder.LockedFolder locked = StateFolder.tryLock(relay.stateFolder())) {
+            assertTrue(locked != null, "the state folder is still locked");
             relay.start();
             relay.kill();
         }
