--- a/src/test/java/drumdeal/relay/DeadlineMarginTest.java
+++ b/src/test/java/drumdeal/relay/DeadlineMarginTest.java
@@ -39,7 +39,8 @@
         margin.recordStall(NOW_MICROS + SECOND, SECOND);
         assertEquals(4 * SECOND, margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS, 28 * SECOND));
         assertEquals(2 * SECOND, margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS, 8 * SECOND));
-        assertEquals(EXPECTED_STALL_MICROS, margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS + 1, 28 * SECOND));
+        assertEquals(EXPECTED_STALL_MICROS,
+                margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS + 1, 28 * SECOND));
     }
 
     @Test
@@ -55,14 +56,16 @@
      */
     @Test
     void timeLimitIsShortenedByTheMargin() {
-        RequestTerms shortened = DeadlineMargin.shortenDeadline(terms(2 * SECOND, 20 * SECOND), 2 * SECOND);
+        RequestTerms shortened =
+                DeadlineMargin.shortenDeadline(terms(2 * SECOND, 20 * SECOND), 2 * SECOND);
         assertEquals(18 * SECOND, shortened.requestClass().timeLimitMicros());
         assertEquals(12, shortened.maxAttempts());
     }
 
     @Test
     void timeLimitStaysAboveAGoalCloseToIt() {
-        RequestTerms shortened = DeadlineMargin.shortenDeadline(terms(19 * SECOND, 20 * SECOND), 2 * SECOND);
+        RequestTerms shortened =
+                DeadlineMargin.shortenDeadline(terms(19 * SECOND, 20 * SECOND), 2 * SECOND);
         assertEquals(19 * SECOND + 1, shortened.requestClass().timeLimitMicros());
     }
 
--- a/src/test/java/drumdeal/relay/JournalTest.java
+++ b/src/test/java/drumdeal/relay/JournalTest.java
@@ -141,8 +141,8 @@
             }
         }
         assertTrue(rejected > 100, "rejected messages: " + rejected);
-        // The other half is for compaction: until it is done, the new segment, which is no larger than the records
-        // of unfinished messages, exists beside the old one.
+        // The other half is for compaction, during which a new segment, no larger than the records of all unfinished
+        // messages, exists beside the old one.
         assertTrue(maxUsedBytes < 0.5 * DISK_LIMIT_BYTES, "largest size on disk, in bytes: " + maxUsedBytes);
         assertEquals(unfinished.stream().map(m -> m.number).toList(),
                 readAfterReopening().stream().map(m -> m.number).toList());
--- a/src/test/java/drumdeal/relay/RelayProcess.java
+++ b/src/test/java/drumdeal/relay/RelayProcess.java
@@ -22,6 +22,7 @@
 final class RelayProcess implements AutoCloseable {
     private static final Pattern SERVING_LINE = Pattern.compile("serving on \\S*?([0-9.]+):(\\d+)");
     private static final Pattern ADMIN_LINE = Pattern.compile("operators at \\S*?([0-9.]+):(\\d+)");
+    /** Bounds each {@link #await}, each read from a socket and the wait for the end of the process. */
     private static final int TIMEOUT_SECONDS = 30;
 
     /**
@@ -60,6 +61,7 @@
     /**
      * A response of discovery.
      *
+     * @param rev the version of the list
      * @param all true for the full list, false if the targets are changes to the previous one
      */
     static String targetListJson(int rev, boolean all, String... targets) {
--- a/src/test/java/drumdeal/relay/RestartTest.java
+++ b/src/test/java/drumdeal/relay/RestartTest.java
@@ -193,7 +193,7 @@
     @Test
     void gracefulStopServesAClientThatReconnectsWhenItsConnectionCloses() throws IOException, InterruptedException {
         boolean served = false;
-        // On a busy machine a client may reconnect too late; then another one is tried.
+        // On a busy machine the client may reconnect too late; then the test tries again.
         for (int tries = 0; tries < 5 && !served; tries++) {
             relay.start();
             try (Socket idle = relay.connect()) {
--- a/src/test/java/drumdeal/relay/StubPeer.java
+++ b/src/test/java/drumdeal/relay/StubPeer.java
@@ -20,11 +20,12 @@
  * request and answers with the text that its responder returns.
  */
 final class StubPeer implements AutoCloseable {
-    /** Returned by a responder in place of a response: closes the connection, or leaves the request unanswered. */
+    /** Returned by a responder in place of a response: closes the connection. */
     static final String CLOSE_CONNECTION = "close";
+    /** Returned by a responder in place of a response: leaves the request unanswered and the connection open. */
     static final String NO_RESPONSE = "silence";
 
-    /** A request as received; the header names are in lower case. */
+    /** A request as received; the header names are in lower case, the time is that of {@link System#nanoTime()}. */
     record Request(String requestLine, Map<String, String> headers, String body, long receivedAtNanos) {
         /** The call id header, or null if the request has none. */
         String callId() {
@@ -50,10 +51,12 @@
         return new StubPeer(request -> response);
     }
 
+    /** The text of a response without a body. */
     static String respondWithStatus(int code, String... headers) {
         return respondWith(code, "", headers);
     }
 
+    /** The text of a response with a body; the headers are whole lines without their line breaks. */
     static String respondWith(int code, String body, String... headers) {
         StringBuilder text = new StringBuilder("HTTP/1.1 " + code + " X\r\n");
         for (String header : headers) {
