--- a/src/test/java/drumdeal/relay/AdminTest.java
+++ b/src/test/java/drumdeal/relay/AdminTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What operators may ask at their own address, and what they are told. */
+/** The admin server: health check, statistics, draining, and its availability beside many clients. */
 class AdminTest extends RelayTestBase {
     private static final String READY_REQUEST = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void callsThatAreNoneOfItsOwnAreTurnedDown() throws IOException {
+    void unknownPathsWrongMethodsAndMalformedRequestsAreRejected() throws IOException {
         relay.start();
         assertEquals(200, relay.sendAdminRequest("GET", "/healthcheck"));
         assertEquals(404, relay.sendAdminRequest("GET", "/nosuch"));
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void callersThatSayNothingOrHalfACallDoNotKeepOthersOut() throws IOException {
+    void idleAndIncompleteConnectionsDoNotBlockOthers() throws IOException {
         relay.start();
         List<Socket> idle = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
@@ -62,22 +62,23 @@
     }
 
     @Test
-    void doorAnswersWhileClientsTakeAllTheirDescriptors() throws IOException {
+    void adminServerAnswersWhileClientsUseAllTheirDescriptors() throws IOException {
         relay.start();
-        List<Socket> crowd = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            crowd.add(relay.connect());
+            clients.add(relay.connect());
         }
         assertEquals(200, relay.sendAdminRequest("GET", "/healthcheck"));
         assertTrue(relay.countOpenDescriptors() <= 256);
-        for (Socket socket : crowd) {
+        for (Socket socket : clients) {
             socket.close();
         }
     }
 
     @Test
-    void figuresCountHowMessagesEndFromTheStartOn() throws IOException {
-        host.respondWith(request -> request.callId().startsWith("u") ? StubPeer.CLOSE_CONNECTION : respondWithStatus(200));
+    void statsCountHowMessagesEndedSinceTheStart() throws IOException {
+        host.respondWith(request -> request.callId().startsWith("u") ? StubPeer.CLOSE_CONNECTION
+                : respondWithStatus(200));
         relay.start();
         relay.submit("s1", "safe", 7);
         relay.submit("s2", "safe", 7);
@@ -89,13 +90,13 @@
         assertTrue(stats.contains("\"keyed\":{\"completed\":0,\"rejected\":1,\"failed\":0}"), stats);
         assertTrue(stats.contains("\"upstream_requests\":3,\"pending\":0,\"members\":1,"), stats);
         assertTrue(stats.contains("\"config_reloads\":0,\"config_reload_errors\":0}"), stats);
-        // The counters of the log are cleared every two seconds; these are not.
+        // The counters in the log are reset every two seconds; these are not.
         await(() -> relay.log().contains("taken 3"));
         assertTrue(relay.fetchStats().contains("\"safe\":{\"completed\":2,"));
     }
 
     @Test
-    void endpointThatRefusesConnectionsIsUnavailable() throws IOException {
+    void endpointThatRefusesConnectionsIsCountedAsUnavailable() throws IOException {
         host.close();
         relay.start();
         assertTrue(relay.fetchStats().contains("\"members_unavailable\":0"));
@@ -106,15 +107,15 @@
     }
 
     @Test
-    void emptiedRelaySendsClientsAwayUntilItTakesThemAgain() throws IOException {
+    void drainingRelayTurnsClientsAwayUntilDrainingIsStopped() throws IOException {
         relay.start();
-        try (Socket kept = relay.connect()) {
-            assertEquals(200, RelayProcess.exchange(kept, READY_REQUEST).status());
+        try (Socket idle = relay.connect()) {
+            assertEquals(200, RelayProcess.exchange(idle, READY_REQUEST).status());
             assertEquals(200, relay.sendAdminRequest("POST", "/healthcheck/fail"));
             assertEquals(503, relay.exchange(READY_REQUEST).status());
             assertEquals(503, relay.sendAdminRequest("GET", "/healthcheck"));
-            assertEquals(202, relay.submit("late", "safe", 7), "who comes all the same is served");
-            assertTrue(isClosed(kept), "the kept connection closes");
+            assertEquals(202, relay.submit("late", "safe", 7), "a client that connects nevertheless must be served");
+            assertTrue(isClosed(idle), "the idle connection must be closed");
         }
         try (Socket late = relay.connect()) {
             String head = RelayProcess.exchange(late, RelayProcess.messageRequest("l2", "safe", 7, 9000, "x")).head();
@@ -124,7 +125,8 @@
         assertEquals(200, relay.sendAdminRequest("GET", "/healthcheck"));
         try (Socket again = relay.connect()) {
             assertEquals(200, RelayProcess.exchange(again, READY_REQUEST).status());
-            assertEquals(200, RelayProcess.exchange(again, READY_REQUEST).status(), "connections are kept again");
+            assertEquals(200, RelayProcess.exchange(again, READY_REQUEST).status(),
+                    "connections must be kept open again");
         }
     }
 }
--- a/src/test/java/drumdeal/relay/DeadlineMarginTest.java
+++ b/src/test/java/drumdeal/relay/DeadlineMarginTest.java
@@ -10,6 +10,10 @@
 import drumdeal.Policy.RequestTerms;
 import org.junit.jupiter.api.Test;
 
+/**
+ * How much earlier than the client's deadline the relay ends a message, so that its notice is in time even if the event
+ * loop stalls.
+ */
 class DeadlineMarginTest {
     private static final long SECOND = 1_000_000;
     private static final long NOW_MICROS = 1_000 * SECOND;
@@ -17,48 +21,56 @@
     private final DeadlineMargin margin = new DeadlineMargin();
 
     @Test
-    void coversAStallOfTwoSecondsWhereThereIsTime() {
+    void marginCoversAStallOfTwoSecondsWhenTimeAllows() {
         assertEquals(2 * SECOND, margin.marginFor(NOW_MICROS, 11 * SECOND));
         assertEquals(2 * SECOND, margin.marginFor(NOW_MICROS, 28 * SECOND));
     }
 
     @Test
-    void leavesThreeQuartersOfAShortTimeToTheMessage() {
+    void marginTakesAtMostAQuarterOfTheTimeLeft() {
         assertEquals(750_000, margin.marginFor(NOW_MICROS, 3 * SECOND));
         assertEquals(0, margin.marginFor(NOW_MICROS, 0));
         assertEquals(0, margin.marginFor(NOW_MICROS, -SECOND));
     }
 
     @Test
-    void followsALongerStallForAWhile() {
+    void marginFollowsALongerStallForTheRetentionTime() {
         margin.recordStall(NOW_MICROS, 4 * SECOND);
         margin.recordStall(NOW_MICROS + SECOND, SECOND);
         assertEquals(4 * SECOND, margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS, 28 * SECOND));
         assertEquals(2 * SECOND, margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS, 8 * SECOND));
-        assertEquals(EXPECTED_STALL_MICROS, margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS + 1, 28 * SECOND));
+        assertEquals(EXPECTED_STALL_MICROS,
+                margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS + 1, 28 * SECOND));
     }
 
     @Test
-    void shorterStallCountsOnceALongerOneIsForgotten() {
+    void shorterStallCountsOnceALongerOneHasExpired() {
         margin.recordStall(NOW_MICROS, 5 * SECOND);
         margin.recordStall(NOW_MICROS + STALL_RETENTION_MICROS + 1, 3 * SECOND);
         assertEquals(3 * SECOND, margin.marginFor(NOW_MICROS + STALL_RETENTION_MICROS + 2, 28 * SECOND));
     }
 
+    /**
+     * The age of a message is computed from its deadline and its time limit: with an earlier deadline alone the message
+     * would count as older than it is.
+     */
     @Test
-    void messageIsNoOlderForItsMargin() {
-        RequestTerms shorter = DeadlineMargin.shortenDeadline(terms(2 * SECOND, 20 * SECOND), 2 * SECOND);
-        assertEquals(18 * SECOND, shorter.requestClass().timeLimitMicros());
-        assertEquals(12, shorter.maxAttempts());
+    void timeLimitIsShortenedByTheMargin() {
+        RequestTerms shortened =
+                DeadlineMargin.shortenDeadline(terms(2 * SECOND, 20 * SECOND), 2 * SECOND);
+        assertEquals(18 * SECOND, shortened.requestClass().timeLimitMicros());
+        assertEquals(12, shortened.maxAttempts());
     }
 
     @Test
-    void classWhoseGoalIsCloseToItsDeadlineKeepsIt() {
-        RequestTerms shorter = DeadlineMargin.shortenDeadline(terms(19 * SECOND, 20 * SECOND), 2 * SECOND);
-        assertEquals(19 * SECOND + 1, shorter.requestClass().timeLimitMicros());
+    void timeLimitStaysAboveAGoalCloseToIt() {
+        RequestTerms shortened =
+                DeadlineMargin.shortenDeadline(terms(19 * SECOND, 20 * SECOND), 2 * SECOND);
+        assertEquals(19 * SECOND + 1, shortened.requestClass().timeLimitMicros());
     }
 
-    private static RequestTerms terms(long goal, long deadline) {
-        return new RequestTerms(new RequestClass("c", Idempotency.ONCE, KeyScope.ALL, 0, goal, deadline, 1, 0.3, false), 12);
+    private static RequestTerms terms(long goalMicros, long timeLimitMicros) {
+        return new RequestTerms(new RequestClass("c", Idempotency.ONCE, KeyScope.ALL, 0, goalMicros, timeLimitMicros,
+                1, 0.3, false), 12);
     }
 }
--- a/src/test/java/drumdeal/relay/JournalTest.java
+++ b/src/test/java/drumdeal/relay/JournalTest.java
@@ -17,22 +17,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Replay of a journal, also a damaged one, and its limits on the disk. */
 class JournalTest {
     private static final long DISK_LIMIT_BYTES = 3 << 20;
 
     @TempDir
     Path folder;
 
-    private static Message createMessage(long number, int bytes) {
-        return new Message(number, new Message.Content("id" + number, "safe", "acme", null, 123, 7, new byte[bytes]), null);
+    private static Message createMessage(long number, int bodyBytes) {
+        return new Message(number,
+                new Message.Content("id" + number, "safe", "acme", null, 123, 7, new byte[bodyBytes]), null);
     }
 
+    /** The unfinished messages that a new journal finds in the folder. */
     private List<Message> readAfterReopening() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             return journal.unfinishedMessages();
         }
     }
 
+    /** The size of all files in the folder, each rounded up to blocks of 512 bytes. */
     private long usedDiskBytes() throws IOException {
         try (var files = Files.list(folder)) {
             return files.mapToLong(file -> (file.toFile().length() + 511) / 512 * 512).sum();
@@ -46,30 +50,31 @@
     }
 
     @Test
-    void endsHaveRoomWhereAttemptsHaveNone() throws IOException {
+    void endRecordsFitWhereAttemptRecordsNoLongerDo() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             List<Message> messages = new java.util.ArrayList<>();
             for (int i = 1; i <= 100; i++) {
                 messages.add(createMessage(i, 8_000));
                 assertTrue(journal.recordAccepted(messages.get(i - 1)));
             }
-            int tried = 0;
-            while (journal.recordAttempt(messages.get(tried % 100).addAttempt("r", 50))) {
-                tried++;
+            int attempts = 0;
+            while (journal.recordAttempt(messages.get(attempts % 100).addAttempt("r", 50))) {
+                attempts++;
             }
             messages.forEach(journal::recordDone);
-            int rewrites = Integer.parseInt(segmentFile().getFileName().toString().replaceAll("\\D", ""));
-            assertTrue(rewrites < 10, "written again so often: " + rewrites);
+            int compactions = Integer.parseInt(segmentFile().getFileName().toString().replaceAll("\\D", ""));
+            assertTrue(compactions < 10, "number of compactions: " + compactions);
         }
         assertTrue(readAfterReopening().isEmpty());
     }
 
     @Test
-    void everythingRecordedComesBack() throws IOException {
+    void allRecordsAreReplayed() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             Message first = createMessage(1, 10);
             Message second = createMessage(2, 0);
-            assertTrue(journal.recordAccepted(first) && journal.recordAccepted(second) && journal.recordAccepted(createMessage(3, 0)));
+            assertTrue(journal.recordAccepted(first) && journal.recordAccepted(second)
+                    && journal.recordAccepted(createMessage(3, 0)));
             Message.Attempt refused = first.addAttempt("r1", 50);
             assertTrue(journal.recordAttempt(refused));
             refused.result = Result.FULL;
@@ -92,13 +97,13 @@
     }
 
     @Test
-    void tornTailIsCutOffAndWritingGoesOn() throws IOException {
+    void tornTailIsTruncatedAndWritingContinues() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             journal.recordAccepted(createMessage(1, 10));
             journal.recordAccepted(createMessage(2, 1000));
         }
-        byte[] all = Files.readAllBytes(segmentFile());
-        Files.write(segmentFile(), Arrays.copyOf(all, all.length - 1));
+        byte[] segment = Files.readAllBytes(segmentFile());
+        Files.write(segmentFile(), Arrays.copyOf(segment, segment.length - 1));
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             assertEquals(1, journal.unfinishedMessages().size());
             assertTrue(journal.recordAccepted(createMessage(3, 10)));
@@ -107,54 +112,56 @@
     }
 
     @Test
-    void recordWithAWrongChecksumIsCutOff() throws IOException {
+    void recordWithAWrongChecksumIsTruncated() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             journal.recordAccepted(createMessage(1, 10));
         }
-        byte[] bytes = Files.readAllBytes(segmentFile());
-        bytes[bytes.length - 1] ^= 1;
-        Files.write(segmentFile(), bytes, StandardOpenOption.TRUNCATE_EXISTING);
+        byte[] segment = Files.readAllBytes(segmentFile());
+        segment[segment.length - 1] ^= 1;
+        Files.write(segmentFile(), segment, StandardOpenOption.TRUNCATE_EXISTING);
         assertTrue(readAfterReopening().isEmpty());
     }
 
     @Test
-    void folderStaysUnderItsLimitWithTheLargestBodies() throws IOException {
-        ArrayDeque<Message> held = new ArrayDeque<>();
-        int refused = 0;
-        long most = 0;
+    void folderStaysBelowItsLimitWithTheLargestBodies() throws IOException {
+        ArrayDeque<Message> unfinished = new ArrayDeque<>();
+        int rejected = 0;
+        long maxUsedBytes = 0;
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             for (int number = 1; number <= 500; number++) {
                 Message message = createMessage(number, 64 << 10);
                 if (journal.recordAccepted(message)) {
-                    held.add(message);
+                    unfinished.add(message);
                     assertTrue(journal.recordAttempt(message.addAttempt("r", 1)));
                 } else {
-                    refused++;
-                    journal.recordDone(held.poll());
+                    rejected++;
+                    journal.recordDone(unfinished.poll());
                 }
-                most = Math.max(most, usedDiskBytes());
+                maxUsedBytes = Math.max(maxUsedBytes, usedDiskBytes());
             }
         }
-        assertTrue(refused > 100, "refused: " + refused);
-        // During a rewrite the new segment, no larger than what is open, stands beside the old one.
-        assertTrue(most < 0.5 * DISK_LIMIT_BYTES, "most on disk: " + most);
-        assertEquals(held.stream().map(m -> m.number).toList(), readAfterReopening().stream().map(m -> m.number).toList());
+        assertTrue(rejected > 100, "rejected messages: " + rejected);
+        // The other half is for compaction, during which a new segment, no larger than the records of all unfinished
+        // messages, exists beside the old one.
+        assertTrue(maxUsedBytes < 0.5 * DISK_LIMIT_BYTES, "largest size on disk, in bytes: " + maxUsedBytes);
+        assertEquals(unfinished.stream().map(m -> m.number).toList(),
+                readAfterReopening().stream().map(m -> m.number).toList());
     }
 
     @Test
-    void otherFilesAreLeftTheirRoom() throws IOException {
+    void spaceReservedForOtherFilesStaysFree() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             journal.reserveForOtherFiles(DISK_LIMIT_BYTES / 2);
             for (int number = 1; number <= 100; number++) {
                 journal.recordAccepted(createMessage(number, 64 << 10));
             }
         }
-        assertTrue(usedDiskBytes() < 0.5 * DISK_LIMIT_BYTES / 2, "on disk: " + usedDiskBytes());
+        assertTrue(usedDiskBytes() < 0.5 * DISK_LIMIT_BYTES / 2, "size on disk, in bytes: " + usedDiskBytes());
         assertTrue(readAfterReopening().size() > 1);
     }
 
     @Test
-    void attemptThatCouldNotBeRecordedLeavesTheOthersTheirNumbers() throws IOException {
+    void laterAttemptsKeepTheirNumbersWhenOneCouldNotBeRecorded() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             Message message = createMessage(1, 10);
             journal.recordAccepted(message);
@@ -167,20 +174,20 @@
     }
 
     @Test
-    void resultOfAnAttemptThatCouldNotBeRecordedCutsNothingOff() throws IOException {
+    void resultOfAnUnrecordedAttemptDoesNotEndTheReplay() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             Message message = createMessage(1, 10);
             journal.recordAccepted(message);
-            Message.Attempt lost = message.addAttempt("lost", 1);
-            lost.result = Result.NOT_SENT;
-            journal.recordResult(lost);
+            Message.Attempt unrecorded = message.addAttempt("lost", 1);
+            unrecorded.result = Result.NOT_SENT;
+            journal.recordResult(unrecorded);
             journal.recordAccepted(createMessage(2, 10));
         }
         assertEquals(List.of(1L, 2L), readAfterReopening().stream().map(m -> m.number).toList());
     }
 
     @Test
-    void unfinishedRewriteIsPassedOver() throws IOException {
+    void unfinishedCompactionIsIgnoredAndDeleted() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             journal.recordAccepted(createMessage(1, 10));
         }
@@ -190,7 +197,7 @@
     }
 
     @Test
-    void messageIsNotTakenOnWhereTheDiskIsFull() throws IOException {
+    void messageIsNotAcceptedWhenTheDiskIsFull() throws IOException {
         Path full = Path.of("/dev/full");
         assumeTrue(Files.exists(full));
         Files.createSymbolicLink(folder.resolve("journal-0000000000.log"), full);
--- a/src/test/java/drumdeal/relay/LargeDeploymentTest.java
+++ b/src/test/java/drumdeal/relay/LargeDeploymentTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Deployments with a thousand endpoints, each of a destination of its own. */
+/** Deployments with a thousand endpoints, each with its own destination. */
 class LargeDeploymentTest extends RelayTestBase {
     private static final int ENDPOINT_COUNT = 1024;
 
-    /** What discovery answers next; each news is told once. */
+    /** The next list or change that discovery sends, once; null if there is none. */
     private final AtomicReference<String> nextListUpdate = new AtomicReference<>();
 
     @BeforeEach
@@ -34,29 +34,32 @@
         if (request.requestLine().startsWith("POST")) {
             return respondWithStatus(204);
         }
-        String told = nextListUpdate.getAndSet(null);
-        return told == null ? request.requestLine().contains("after=") ? StubPeer.NO_RESPONSE : respondWithStatus(503) : respondWith(200, told);
+        String update = nextListUpdate.getAndSet(null);
+        return update == null
+                ? request.requestLine().contains("after=") ? StubPeer.NO_RESPONSE : respondWithStatus(503)
+                : respondWith(200, update);
     }
 
-    private static String[] targetsJson(IntFunction<String> each) {
-        return IntStream.range(0, ENDPOINT_COUNT).mapToObj(each).toArray(String[]::new);
+    private static String[] targetsJson(IntFunction<String> targetByIndex) {
+        return IntStream.range(0, ENDPOINT_COUNT).mapToObj(targetByIndex).toArray(String[]::new);
     }
 
-    private void awaitMembers(int all, int unavailable) {
-        await(() -> relay.fetchStats().contains("\"members\":" + all + ",\"members_unavailable\":" + unavailable));
+    private void awaitMembers(int total, int unavailable) {
+        await(() -> relay.fetchStats().contains("\"members\":" + total + ",\"members_unavailable\":" + unavailable));
     }
 
     @Test
-    void thousandServersAreKnownAtTheStartAndDrainInOneChange() throws IOException {
-        nextListUpdate.set(targetListJson(2, false, targetsJson(i -> targetJson(i == 0 ? "h1" : "known" + i, i == 0 ? 7 : 100 + i, "one",
-                "terminating", host.address()))));
+    void thousandConfiguredEndpointsDrainInOneUpdate() throws IOException {
+        nextListUpdate.set(targetListJson(2, false, targetsJson(i -> targetJson(
+                i == 0 ? "h1" : "known" + i, i == 0 ? 7 : 100 + i, "one", "terminating", host.address()))));
         relay.start();
         awaitMembers(ENDPOINT_COUNT, ENDPOINT_COUNT);
     }
 
     @Test
-    void wholeListOfAThousandServersReplacesAsMany() throws IOException {
-        nextListUpdate.set(targetListJson(2, true, targetsJson(i -> targetJson("new" + i, 2000 + i, "one", "in_service", host.address()))));
+    void fullListOfAThousandEndpointsReplacesAsMany() throws IOException {
+        nextListUpdate.set(targetListJson(2, true, targetsJson(i -> targetJson(
+                "new" + i, 2000 + i, "one", "in_service", host.address()))));
         relay.start();
         await(() -> relay.log().contains("discovery: version 2, " + ENDPOINT_COUNT + " entries"));
         awaitMembers(ENDPOINT_COUNT, 0);
@@ -65,20 +68,20 @@
     }
 
     @Test
-    void newSettingsWithAThousandServersAreTaken() throws IOException {
+    void reloadWithAThousandEndpointsIsApplied() throws IOException {
         relay.start();
         relay.reconfigure(text -> text);
         await(() -> relay.log().contains("new settings"));
     }
 
     @Test
-    void whatWasLearnedOfAThousandServersOutlastsAKill() throws IOException {
+    void learnedStateOfAThousandEndpointsIsReadAfterAKill() throws IOException {
         relay.start();
         awaitMembers(ENDPOINT_COUNT, 0);
-        FileTime before = FileTime.fromMillis(System.currentTimeMillis());
+        FileTime earliestWrite = FileTime.fromMillis(System.currentTimeMillis());
         await(() -> {
             try {
-                return Files.getLastModifiedTime(relay.stateFolder().resolve("health")).compareTo(before) > 0;
+                return Files.getLastModifiedTime(relay.stateFolder().resolve("health")).compareTo(earliestWrite) > 0;
             } catch (IOException e) {
                 return false;
             }
--- a/src/test/java/drumdeal/relay/LogTest.java
+++ b/src/test/java/drumdeal/relay/LogTest.java
@@ -6,19 +6,20 @@
 import java.io.PrintStream;
 import org.junit.jupiter.api.Test;
 
+/** The limit on log lines per second: a peer must not make the relay log more than its reader can take. */
 class LogTest {
     @Test
-    void floodOfLinesIsCutShort() {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        PrintStream before = System.err;
-        System.setErr(new PrintStream(bytes, true));
+    void linesPerSecondAreLimited() {
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        PrintStream originalErr = System.err;
+        System.setErr(new PrintStream(output, true));
         try {
             for (int i = 0; i < 10_000; i++) {
                 Log.write("line " + i);
             }
         } finally {
-            System.setErr(before);
+            System.setErr(originalErr);
         }
-        assertTrue(bytes.toString().lines().count() < 1_000, bytes.toString());
+        assertTrue(output.toString().lines().count() < 1_000, output.toString());
     }
 }
--- a/src/test/java/drumdeal/relay/NoticeSenderTest.java
+++ b/src/test/java/drumdeal/relay/NoticeSenderTest.java
@@ -11,33 +11,35 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What the platform is told of messages that were taken on and not delivered. */
+/** Notices to the platform about messages that were accepted and not delivered. */
 class NoticeSenderTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
         prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(StubPeer.CLOSE_CONNECTION));
     }
 
-    private void answerNotices(Function<StubPeer.Request, String> answers) {
-        discovery.respondWith(request -> request.requestLine().startsWith("POST /status") ? answers.apply(request)
+    private void answerNotices(Function<StubPeer.Request, String> responder) {
+        discovery.respondWith(request -> request.requestLine().startsWith("POST /status") ? responder.apply(request)
                 : StubPeer.NO_RESPONSE);
     }
 
     @Test
-    void noticesThatWaitedForAnAnswerAreAllHeardAfterIt() throws IOException {
+    void pendingNoticesAreAllAcknowledgedOnceThePlatformAnswers() throws IOException {
         answerNotices(request -> StubPeer.NO_RESPONSE);
         relay.start();
         for (String id : List.of("a", "b", "c")) {
             assertEquals(202, relay.submit(id, "unsafe", 7));
         }
-        await(() -> relay.hasSentNotice("a", "dead") && relay.hasSentNotice("b", "dead") && relay.hasSentNotice("c", "dead"));
-        assertEquals(3, relay.readOpenMessages().size(), "what was not heard is still owed");
+        await(() -> relay.hasSentNotice("a", "dead") && relay.hasSentNotice("b", "dead")
+                && relay.hasSentNotice("c", "dead"));
+        assertEquals(3, relay.readOpenMessages().size(),
+                "messages must stay open until their notices are acknowledged");
         answerNotices(request -> respondWithStatus(204));
         await(() -> relay.readOpenMessages().isEmpty());
     }
 
     @Test
-    void noticeThatIsNotUnderstoodHoldsUpNoOther() throws IOException {
+    void rejectedNoticeDoesNotHoldUpOthers() throws IOException {
         answerNotices(request -> respondWithStatus(503));
         relay.start();
         for (String id : List.of("a", "odd", "c")) {
--- a/src/test/java/drumdeal/relay/ReloadTest.java
+++ b/src/test/java/drumdeal/relay/ReloadTest.java
@@ -14,56 +14,58 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A configuration that is replaced while the relay runs. */
+/** Reload of the configuration, on SIGHUP, while the relay runs. */
 class ReloadTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
         prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(respondWithStatus(200)));
     }
 
-    /** Discovery with a list of its own, which takes every notice. */
+    /** Discovery that sends the list, leaves requests for changes unanswered and acknowledges every notice. */
     private static StubPeer createDiscovery(String list) throws IOException {
         return new StubPeer(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204)
                 : request.requestLine().contains("after=") ? StubPeer.NO_RESPONSE : respondWith(200, list));
     }
 
     @Test
-    void hangUpMovesTheWatchAgainAndAgain() throws IOException {
+    void eachReloadSwitchesToTheNewDiscoveryAddress() throws IOException {
         relay.start();
         assertEquals(202, relay.submit("m0", "safe", 7));
         await(() -> host.countRequests("POST") == 1);
-        String same = targetJson("h1", 7, "one", "in_service", host.address()).replace("1.0", "2.0");
-        try (StubPeer second = createDiscovery(targetListJson(1, true, same));
-                StubPeer other = StubPeer.always(respondWithStatus(200));
-                StubPeer third = createDiscovery(targetListJson(0, true, targetJson("h2", 7, "one", "in_service", other.address())))) {
-            relay.moveDiscovery(second);
-            await(() -> second.countRequests("GET /api/targets?after=1&") > 0);
+        String changedTarget = targetJson("h1", 7, "one", "in_service", host.address()).replace("1.0", "2.0");
+        try (StubPeer secondDiscovery = createDiscovery(targetListJson(1, true, changedTarget));
+                StubPeer otherHost = StubPeer.always(respondWithStatus(200));
+                StubPeer thirdDiscovery = createDiscovery(targetListJson(0, true,
+                        targetJson("h2", 7, "one", "in_service", otherHost.address())))) {
+            relay.moveDiscovery(secondDiscovery);
+            await(() -> secondDiscovery.countRequests("GET /api/targets?after=1&") > 0);
             assertEquals(202, relay.submit("m1", "safe", 7));
             await(() -> host.countRequests("POST") == 2);
-            assertEquals(1, host.connections.size(), "a host that stays where it is keeps its connections");
-            relay.moveDiscovery(third);
-            await(() -> third.countRequests("GET /api/targets?after=0&") > 0);
-            assertEquals("GET /api/targets HTTP/1.1", third.requests.get(0).requestLine());
+            assertEquals(1, host.connections.size(), "connections to a host at an unchanged address must be kept");
+            relay.moveDiscovery(thirdDiscovery);
+            await(() -> thirdDiscovery.countRequests("GET /api/targets?after=0&") > 0);
+            assertEquals("GET /api/targets HTTP/1.1", thirdDiscovery.requests.get(0).requestLine());
             assertEquals(202, relay.submit("m2", "safe", 7));
-            await(() -> other.countRequests("POST") == 1);
+            await(() -> otherHost.countRequests("POST") == 1);
         }
     }
 
     @Test
-    void listThatTheNewDiscoveryTellsSlowlyIsWaitedFor() throws IOException {
+    void relayWaitsForAListThatTheNewDiscoverySendsSlowly() throws IOException {
         relay.start();
-        try (StubPeer other = StubPeer.always(respondWithStatus(200));
-                StubPeer next = new StubPeer(request -> {
+        try (StubPeer otherHost = StubPeer.always(respondWithStatus(200));
+                StubPeer newDiscovery = new StubPeer(request -> {
                     if (request.requestLine().contains("after=")) {
                         return StubPeer.NO_RESPONSE;
                     }
                     sleep(1000);
-                    return respondWith(200, targetListJson(1, true, targetJson("h2", 7, "one", "in_service", other.address())));
+                    return respondWith(200, targetListJson(1, true,
+                            targetJson("h2", 7, "one", "in_service", otherHost.address())));
                 })) {
-            relay.moveDiscovery(next);
-            await(() -> next.countRequests("GET /api/targets?after=1&") > 0);
+            relay.moveDiscovery(newDiscovery);
+            await(() -> newDiscovery.countRequests("GET /api/targets?after=1&") > 0);
             assertEquals(202, relay.submit("m3", "safe", 7));
-            await(() -> other.countRequests("POST") == 1);
+            await(() -> otherHost.countRequests("POST") == 1);
         }
     }
 
@@ -76,13 +78,13 @@
     }
 
     @Test
-    void noticeThatTheOldAddressLeftUnansweredGoesToTheNewOne() throws IOException, InterruptedException {
+    void noticeUnansweredAtTheOldAddressIsSentToTheNewOne() throws IOException, InterruptedException {
         discovery.respondWith(request -> StubPeer.NO_RESPONSE);
         host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
         relay.start().submit("u1", "unsafe", 7);
         await(() -> relay.hasSentNotice("u1", "dead"));
-        try (StubPeer next = RelayProcess.discoveryWithoutChanges()) {
-            relay.moveDiscovery(next);
+        try (StubPeer newDiscovery = RelayProcess.discoveryWithoutChanges()) {
+            relay.moveDiscovery(newDiscovery);
             await(() -> relay.hasSentNotice("u1", "dead"));
             await(() -> relay.readOpenMessages().isEmpty());
             relay.terminate();
@@ -91,7 +93,7 @@
     }
 
     @Test
-    void configurationThatCannotBeReadLeavesTheOldOneInForce() throws IOException {
+    void unreadableConfigurationLeavesTheOldOneInForce() throws IOException {
         relay.start();
         relay.reconfigure(text -> "{");
         await(() -> relay.log().contains("the old configuration stays in force"));
@@ -108,7 +110,7 @@
     }
 
     @Test
-    void classThatIsAddedIsTakenOnByItsOwnRules() throws IOException {
+    void messagesOfAnAddedClassAreAcceptedUnderItsRules() throws IOException {
         host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
         relay.start();
         assertEquals(400, relay.submit("l0", "late", 7));
@@ -116,12 +118,12 @@
         await(() -> relay.fetchStats().contains("\"config_reloads\":1,\"config_reload_errors\":0"));
         assertEquals(202, relay.submit("l1", "late", 7));
         await(() -> relay.hasSentNotice("l1", "dead"));
-        assertEquals(1, host.requests.size(), "it may be sent once");
+        assertEquals(1, host.requests.size(), "the class allows a single attempt");
         await(() -> relay.fetchStats().contains("\"late\":{\"completed\":0,\"rejected\":0,\"failed\":1}"));
     }
 
     @Test
-    void numberOfAttemptsChanges() throws IOException {
+    void reloadChangesTheMaximumNumberOfAttempts() throws IOException {
         host.respondWith(request -> respondWithStatus(503, "X-Line-Busy: 1"));
         relay.start();
         relay.reconfigure(text -> text.replace("\"send-cap\":12", "\"send-cap\":2"));
@@ -132,9 +134,9 @@
     }
 
     @Test
-    void fileThatIsNotWholeOrMakesNoSenseChangesNothing() throws IOException {
+    void truncatedOrInvalidFileChangesNothing() throws IOException {
         relay.start();
-        List<UnaryOperator<String>> broken = List.of(text -> "", text -> text.substring(0, text.length() - 1),
+        List<UnaryOperator<String>> invalidEdits = List.of(text -> "", text -> text.substring(0, text.length() - 1),
                 text -> text + "}", text -> text.replace("\"fees\":{}", "\"other\":{}"),
                 text -> text.replace("\"deadline-s\":20", "\"deadline-s\":0"),
                 text -> text.replace("\"deadline-s\":20", "\"deadline-s\":-20"),
@@ -142,35 +144,35 @@
                 text -> text.replace("\"send-cap\":12,", ""), text -> text.replace(",\"worth\":1}", "}"),
                 text -> text.replace("\"send-cap\":12", "\"send-cap\":0"),
                 text -> text.replace("\"zones\":[\"a\"],", ""), text -> text.replace("\"accounts\"", "\"users\""));
-        for (int i = 0; i < broken.size(); i++) {
-            UnaryOperator<String> spoil = broken.get(i);
-            relay.reconfigure(text -> spoil.apply(withLateClass(text)));
-            String errors = "\"config_reloads\":0,\"config_reload_errors\":" + (i + 1) + "}";
-            await(() -> relay.fetchStats().contains(errors));
+        for (int i = 0; i < invalidEdits.size(); i++) {
+            UnaryOperator<String> invalidEdit = invalidEdits.get(i);
+            relay.reconfigure(text -> invalidEdit.apply(withLateClass(text)));
+            String expectedStats = "\"config_reloads\":0,\"config_reload_errors\":" + (i + 1) + "}";
+            await(() -> relay.fetchStats().contains(expectedStats));
         }
-        assertEquals(400, relay.submit("b1", "late", 7), "nothing of them is taken");
+        assertEquals(400, relay.submit("b1", "late", 7), "no part of an invalid configuration may be applied");
         assertEquals(202, relay.submit("b2", "safe", 7));
         await(() -> host.countRequests("POST") == 1);
         assertTrue(discovery.connections.size() > 0 && relay.isAlive());
     }
 
     @Test
-    void openMessageKeepsItsClassWhenThatIsDroppedAlsoAcrossARestart() throws IOException {
+    void openMessageKeepsItsTermsWhenItsClassIsRemovedOrChangedAlsoAcrossARestart() throws IOException {
         host.respondWith(request -> StubPeer.NO_RESPONSE);
         relay.start();
         assertEquals(202, relay.submit("o1", "unsafe", 7));
         assertEquals(202, relay.submit("o2", "safe", 7));
         await(() -> host.countRequests("POST") == 2);
-        UnaryOperator<String> dropped = text -> text.replace("\"name\":\"unsafe\"", "\"name\":\"other\"")
+        UnaryOperator<String> changeClasses = text -> text.replace("\"name\":\"unsafe\"", "\"name\":\"other\"")
                 .replace("\"name\":\"safe\",\"repeat\":\"repeatable\"", "\"name\":\"safe\",\"repeat\":\"once\"");
-        relay.reconfigure(dropped);
+        relay.reconfigure(changeClasses);
         await(() -> relay.fetchStats().contains("\"config_reloads\":1,"));
         relay.kill();
         host.respondWith(request -> respondWithStatus(200));
         relay.start();
         await(() -> relay.hasSentNotice("o1", "dead"));
         await(() -> host.countRequests("POST") == 3);
-        assertEquals("o2", host.requests.get(2).callId(), "it was taken on as one that may be repeated");
+        assertEquals("o2", host.requests.get(2).callId(), "the message was accepted as repeatable");
         assertEquals(400, relay.submit("o3", "unsafe", 7));
     }
 }
--- a/src/test/java/drumdeal/relay/RestartTest.java
+++ b/src/test/java/drumdeal/relay/RestartTest.java
@@ -15,15 +15,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a relay owes across the end of its process. */
+/** Messages and notices across the end of a process, by kill or by graceful stop, and the next start. */
 class RestartTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
         prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(StubPeer.NO_RESPONSE));
     }
 
-    private void killAndRestartWith(String id, String type) throws IOException {
-        assertEquals(202, relay.start().submit(id, type, 7));
+    /** Kills the relay while a call with the message is in flight, and restarts it. */
+    private void killAndRestartWith(String id, String requestClass) throws IOException {
+        assertEquals(202, relay.start().submit(id, requestClass, 7));
         await(() -> host.requests.size() == 1);
         relay.kill();
         host.respondWith(request -> respondWithStatus(200));
@@ -31,7 +32,7 @@
     }
 
     @Test
-    void messageThatMayBeRepeatedIsResumed() throws IOException {
+    void repeatableMessageIsSentAgainAfterAKill() throws IOException {
         killAndRestartWith("s1", "safe");
         await(() -> host.requests.size() == 2);
         assertEquals("s1", host.requests.get(1).callId());
@@ -39,14 +40,14 @@
     }
 
     @Test
-    void keyedMessageIsSentAgainWithinItsWindow() throws IOException {
+    void keyedMessageIsSentAgainWithinItsDedupWindow() throws IOException {
         killAndRestartWith("k1", "keyed");
         await(() -> host.requests.size() == 2);
         assertEquals("key-k1", host.requests.get(1).headers().get("idempotency-key"));
     }
 
     @Test
-    void unsafeMessageWhoseAttemptIsUnknownIsNeitherSentNorRefused() throws IOException {
+    void unsafeMessageWithUnknownResultIsReportedDeadAndNotSentAgain() throws IOException {
         killAndRestartWith("u1", "unsafe");
         await(() -> relay.hasSentNotice("u1", "dead"));
         assertEquals(1, host.countRequests("POST /receive"));
@@ -54,7 +55,7 @@
     }
 
     @Test
-    void unsafeMessageThatNeverRanIsResumed() throws IOException {
+    void unsafeMessageThatProvablyHadNoEffectIsSentAgain() throws IOException {
         host.respondWith(request -> respondWithStatus(503, "X-Come-Back-Ms: 60000"));
         assertEquals(202, relay.start().submit("u2", "unsafe", 7));
         await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream())
@@ -67,7 +68,7 @@
     }
 
     @Test
-    void deliveredMessageIsOver() throws IOException {
+    void deliveredMessageIsNotSentAgain() throws IOException {
         host.respondWith(request -> respondWithStatus(200));
         relay.start().submit("d1", "unsafe", 7);
         await(() -> host.requests.size() == 1 && relay.readOpenMessages().isEmpty());
@@ -82,9 +83,12 @@
         assertFalse(relay.hasSentNotice("d1", "dead"));
     }
 
-    /** Neither its list nor, for the first moment, discovery knows where the messages of a whole journal go. */
+    /**
+     * After the kill the configuration lists no target, and discovery at first fails: the relay must keep the messages
+     * of its journal until it gets a list, although it does not know their destination.
+     */
     @Test
-    void wholeJournalOfUntriedMessagesIsTriedAfterAKillThoughTheListIsUnknownAtFirst() throws IOException {
+    void untriedMessagesAreAllSentAfterAKillOnceDiscoverySendsItsList() throws IOException {
         relay.start();
         for (int i = 0; i < 30; i++) {
             assertEquals(202, relay.submit("w" + i, List.of("safe", "keyed", "unsafe").get(i % 3), 7));
@@ -93,8 +97,9 @@
         relay.kill();
         List<String> untried = relay.readOpenMessages().stream().filter(m -> m.attempts.isEmpty())
                 .map(m -> m.content.callId()).toList();
-        assertTrue(untried.size() >= 20, "untried " + untried.size());
-        discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204) : respondWithStatus(503));
+        assertTrue(untried.size() >= 20, "untried messages: " + untried.size());
+        discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204)
+                : respondWithStatus(503));
         host.respondWith(request -> respondWithStatus(200));
         relay.editConfiguration(text -> text.replaceFirst("\"targets\":\\[.*?\\]", "\"targets\":[]")).start();
         await(() -> relay.log().contains("discovery: no list"));
@@ -107,8 +112,8 @@
     }
 
     @Test
-    void timeSpentDownCounts() throws IOException, InterruptedException {
-        // Enough time for a slow machine to take the message on, all of which passes while the relay is down.
+    void timeWhileTheRelayIsDownCountsTowardsTheDeadline() throws IOException, InterruptedException {
+        // The budget lets a slow machine accept the message in time, and all of it passes while the relay is down.
         assertEquals(202, relay.start().submit("t1", "safe", 7, 5000, "x"));
         relay.kill();
         Thread.sleep(5000);
@@ -117,47 +122,49 @@
     }
 
     @Test
-    void destinationThatTheOldListLacksIsRefusedUntilDiscoveryHasToldItsList() throws IOException {
+    void unlistedDestinationIsRejectedUntilDiscoverySendsItsList() throws IOException {
         assertEquals(503, relay.start().submit("x1", "safe", 99));
         assertEquals(0, host.requests.size());
     }
 
     @Test
-    void noticeThatWasNotHeardIsSentAgain() throws IOException {
+    void unacknowledgedNoticeIsSentAgain() throws IOException {
         discovery.respondWith(request -> StubPeer.NO_RESPONSE);
         host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
         relay.start().submit("n1", "unsafe", 7);
         await(() -> relay.hasSentNotice("n1", "dead"));
         relay.kill();
         discovery.requests.clear();
-        discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204) : StubPeer.NO_RESPONSE);
+        discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204)
+                : StubPeer.NO_RESPONSE);
         relay.start();
         await(() -> relay.hasSentNotice("n1", "dead"));
         assertEquals(1, host.requests.size());
     }
 
     @Test
-    void plannedEndAnswersAllWhoCameWhileTheRelayHadNoCpu() throws IOException, InterruptedException {
+    void gracefulStopAnswersRequestsThatArrivedWhileTheProcessWasPaused() throws IOException, InterruptedException {
         relay.start();
-        List<Socket> crowd = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         try (Socket unfinished = relay.connect()) {
-            // Keeps the relay from ending before it is paused.
+            // An incomplete request keeps the relay running until it is paused.
             unfinished.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
             relay.pause();
             for (int i = 0; i < 90; i++) {
                 Socket socket = relay.connect();
-                crowd.add(socket);
-                socket.getOutputStream().write(RelayProcess.messageRequest("c" + i, "safe", 7, 20_000, "hello").getBytes());
+                clients.add(socket);
+                socket.getOutputStream()
+                        .write(RelayProcess.messageRequest("c" + i, "safe", 7, 20_000, "hello").getBytes());
             }
             Thread.sleep(3500);
             relay.resume();
-            for (Socket socket : crowd) {
-                assertTrue(RelayProcess.exchange(socket, "").status() > 0, "a whole request got no answer");
+            for (Socket socket : clients) {
+                assertTrue(RelayProcess.exchange(socket, "").status() > 0, "a complete request got no response");
             }
         } finally {
-            for (Socket socket : crowd) {
+            for (Socket socket : clients) {
                 socket.close();
             }
         }
@@ -165,7 +172,7 @@
     }
 
     @Test
-    void messageWhoseTimeIsUpAsTheRelayEndsIsRefused() throws IOException, InterruptedException {
+    void unsentMessageThatExpiresDuringShutdownIsReportedBounced() throws IOException, InterruptedException {
         host.respondWith(request -> respondWithStatus(429, "X-Come-Back-Ms: 60000"));
         relay.start();
         assertEquals(202, relay.submit("first", "safe", 7));
@@ -174,25 +181,25 @@
         relay.terminate();
         Thread.sleep(1000);
         try (Socket unfinished = relay.connect()) {
-            // Keeps the relay there for a while after its time for beginning anything is over.
+            // An incomplete request keeps the relay running for a while after it has stopped new attempts.
             unfinished.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
             assertTrue(relay.waitForExit());
         }
         relay.start();
         await(() -> relay.hasSentNotice("waits", "bounced") || relay.hasSentNotice("waits", "dead"));
-        assertFalse(relay.hasSentNotice("waits", "dead"), "it was never sent");
+        assertFalse(relay.hasSentNotice("waits", "dead"), "a message that was never sent was reported dead");
     }
 
     @Test
-    void plannedEndServesAClientThatComesAgainAsItsConnectionCloses() throws IOException, InterruptedException {
+    void gracefulStopServesAClientThatReconnectsWhenItsConnectionCloses() throws IOException, InterruptedException {
         boolean served = false;
-        // On a busy machine a client may come again too late; then the next one is looked at.
+        // On a busy machine the client may reconnect too late; then the test tries again.
         for (int tries = 0; tries < 5 && !served; tries++) {
             relay.start();
-            try (Socket kept = relay.connect()) {
-                RelayProcess.exchange(kept, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+            try (Socket idle = relay.connect()) {
+                RelayProcess.exchange(idle, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
                 relay.terminate();
-                assertEquals(-1, kept.getInputStream().read());
+                assertEquals(-1, idle.getInputStream().read());
                 Thread.sleep(100);
                 served = relay.submit("again" + tries, "safe", 7) == 202;
             } catch (ConnectException e) {
@@ -204,7 +211,7 @@
     }
 
     @Test
-    void plannedEndAnswersWhatComesAndLeavesTheRestToTheJournal() throws IOException, InterruptedException {
+    void gracefulStopAnswersClientsAndLeavesOpenMessagesToTheJournal() throws IOException, InterruptedException {
         relay.start();
         try (Socket idle = relay.connect(); Socket busy = relay.connect()) {
             String ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -212,16 +219,16 @@
             String message = RelayProcess.messageRequest("p1", "safe", 7, 20_000, "hello");
             busy.getOutputStream().write(message.substring(0, message.length() - 2).getBytes());
             relay.terminate();
-            assertEquals(202, relay.submit("p2", "safe", 7), "new connections are served");
-            assertEquals(-1, idle.getInputStream().read(), "the idle connection closes");
-            RelayProcess.Response answer = RelayProcess.exchange(busy, message.substring(message.length() - 2));
-            assertEquals(202, answer.status(), "a request that was begun is answered");
-            assertTrue(answer.head().toLowerCase().contains("connection: close"), answer.head());
+            assertEquals(202, relay.submit("p2", "safe", 7), "new connections must be served");
+            assertEquals(-1, idle.getInputStream().read(), "the idle connection must be closed");
+            RelayProcess.Response response = RelayProcess.exchange(busy, message.substring(message.length() - 2));
+            assertEquals(202, response.status(), "a request in progress must be answered");
+            assertTrue(response.head().toLowerCase().contains("connection: close"), response.head());
         }
         assertTrue(relay.waitForExit());
         host.respondWith(request -> respondWithStatus(200));
-        int before = host.requests.size();
+        int requestsBefore = host.requests.size();
         relay.start();
-        await(() -> host.requests.stream().skip(before).map(StubPeer.Request::callId).distinct().count() == 2);
+        await(() -> host.requests.stream().skip(requestsBefore).map(StubPeer.Request::callId).distinct().count() == 2);
     }
 }
--- a/src/test/java/drumdeal/relay/RouteStateFileTest.java
+++ b/src/test/java/drumdeal/relay/RouteStateFileTest.java
@@ -12,7 +12,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** What of the routes' health outlasts a kill. */
+/** The file with the learned state of the routes: what is read from it after a kill, and when it is ignored. */
 class RouteStateFileTest extends RelayTestBase {
     private static final long NOW_MICROS = 1_000_000_000;
     private static final long DISK_LIMIT_BYTES = 3 << 20;
@@ -25,53 +25,54 @@
     }
 
     @Test
-    void whatWasWrittenIsRead() throws IOException {
+    void writtenStateIsReadUpToTheMaximumAge() throws IOException {
         writeRouteStateFile();
-        assertArrayEquals(LEARNED, RouteStateFile.read(folder, NOW_MICROS + RouteStateFile.MAX_AGE_MICROS, DISK_LIMIT_BYTES));
+        assertArrayEquals(LEARNED,
+                RouteStateFile.read(folder, NOW_MICROS + RouteStateFile.MAX_AGE_MICROS, DISK_LIMIT_BYTES));
     }
 
     @Test
-    void missingFileIsPassedOver() throws IOException {
+    void missingFileIsIgnored() throws IOException {
         Files.delete(writeRouteStateFile());
         assertNull(RouteStateFile.read(folder, NOW_MICROS, DISK_LIMIT_BYTES));
     }
 
     @Test
-    void fileThatIsCutShortIsPassedOver() throws IOException {
+    void truncatedFileIsIgnored() throws IOException {
         Path file = writeRouteStateFile();
-        byte[] whole = Files.readAllBytes(file);
-        for (int length = 0; length < whole.length; length++) {
-            Files.write(file, Arrays.copyOf(whole, length));
-            assertNull(RouteStateFile.read(folder, NOW_MICROS, DISK_LIMIT_BYTES), "of " + length + " bytes");
+        byte[] complete = Files.readAllBytes(file);
+        for (int length = 0; length < complete.length; length++) {
+            Files.write(file, Arrays.copyOf(complete, length));
+            assertNull(RouteStateFile.read(folder, NOW_MICROS, DISK_LIMIT_BYTES), "truncated to " + length + " bytes");
         }
     }
 
     @Test
-    void fileOfAnotherVersionIsPassedOver() throws IOException {
+    void fileOfAnotherVersionIsIgnored() throws IOException {
         Path file = writeRouteStateFile();
         Files.write(file, ByteBuffer.wrap(Files.readAllBytes(file)).putInt(0, 9).array());
         assertNull(RouteStateFile.read(folder, NOW_MICROS, DISK_LIMIT_BYTES));
     }
 
     @Test
-    void fileThatIsTooOldOrOfTheFutureIsPassedOver() throws IOException {
+    void fileThatIsTooOldOrFromTheFutureIsIgnored() throws IOException {
         writeRouteStateFile();
         assertNull(RouteStateFile.read(folder, NOW_MICROS + RouteStateFile.MAX_AGE_MICROS + 1, DISK_LIMIT_BYTES));
         assertNull(RouteStateFile.read(folder, NOW_MICROS - 1, DISK_LIMIT_BYTES));
     }
 
     @Test
-    void circuitThatWasOpenIsOpenAfterAKill() throws IOException {
+    void openCircuitIsStillOpenAfterAKill() throws IOException {
         prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(StubPeer.CLOSE_CONNECTION));
         relay.start();
         for (int i = 0; i < 4; i++) {
             relay.submit("f" + i, "unsafe", 7);
         }
         await(() -> relay.log().contains("out: h1"));
-        long at = System.currentTimeMillis();
+        long openedAtMillis = System.currentTimeMillis();
         await(() -> {
             try {
-                return Files.getLastModifiedTime(relay.stateFolder().resolve("health")).toMillis() > at;
+                return Files.getLastModifiedTime(relay.stateFolder().resolve("health")).toMillis() > openedAtMillis;
             } catch (IOException e) {
                 return false;
             }
--- a/src/test/java/drumdeal/relay/StubPeer.java
+++ b/src/test/java/drumdeal/relay/StubPeer.java
@@ -15,39 +15,48 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Function;
 
-/** A peer of tests on an ephemeral port: a host, or discovery. It answers each request as it is told. */
+/**
+ * An HTTP server for tests on an ephemeral loopback port, in the place of a host or of discovery. It records each
+ * request and answers with the text that its responder returns.
+ */
 final class StubPeer implements AutoCloseable {
-    /** In place of an answer: the connection closes, or nothing comes at all. */
+    /** Returned by a responder in place of a response: closes the connection. */
     static final String CLOSE_CONNECTION = "close";
+    /** Returned by a responder in place of a response: leaves the request unanswered and the connection open. */
     static final String NO_RESPONSE = "silence";
 
-    /** A request as it came; the names of headers are in lower case. */
+    /** A request as received; the header names are in lower case, the time is that of {@link System#nanoTime()}. */
     record Request(String requestLine, Map<String, String> headers, String body, long receivedAtNanos) {
+        /** The call id header, or null if the request has none. */
         String callId() {
             return headers.get("x-call-id");
         }
     }
 
+    /** All requests so far, in the order received. */
     final List<Request> requests = new CopyOnWriteArrayList<>();
+    /** All connections accepted so far, including closed ones. */
     final List<Socket> connections = new CopyOnWriteArrayList<>();
     private final ServerSocket serverSocket;
     private volatile Function<Request, String> responder;
 
-    StubPeer(Function<Request, String> answers) throws IOException {
-        this.responder = answers;
+    StubPeer(Function<Request, String> responder) throws IOException {
+        this.responder = responder;
         serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         startDaemon(this::accept);
     }
 
-    /** A peer that gives one answer to everything. */
-    static StubPeer always(String answer) throws IOException {
-        return new StubPeer(request -> answer);
+    /** A peer that gives the same response to every request. */
+    static StubPeer always(String response) throws IOException {
+        return new StubPeer(request -> response);
     }
 
+    /** The text of a response without a body. */
     static String respondWithStatus(int code, String... headers) {
         return respondWith(code, "", headers);
     }
 
+    /** The text of a response with a body; the headers are whole lines without their line breaks. */
     static String respondWith(int code, String body, String... headers) {
         StringBuilder text = new StringBuilder("HTTP/1.1 " + code + " X\r\n");
         for (String header : headers) {
@@ -56,19 +65,21 @@
         return text + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    void respondWith(Function<Request, String> next) {
-        responder = next;
+    /** Replaces the responder, also for connections that are open. */
+    void respondWith(Function<Request, String> newResponder) {
+        responder = newResponder;
     }
 
     String address() {
         return "127.0.0.1:" + serverSocket.getLocalPort();
     }
 
-    long countRequests(String start) {
-        return requests.stream().filter(r -> r.requestLine().startsWith(start)).count();
+    /** The number of requests so far whose request line starts with the text. */
+    long countRequests(String prefix) {
+        return requests.stream().filter(r -> r.requestLine().startsWith(prefix)).count();
     }
 
-    /** True where a message has come, however often. */
+    /** Returns whether a message with this call id has arrived, once or more often. */
     boolean hasReceived(String id) {
         return requests.stream().anyMatch(r -> id.equals(r.callId()));
     }
@@ -81,8 +92,8 @@
         }
     }
 
-    private static void startDaemon(Runnable work) {
-        Thread thread = new Thread(work);
+    private static void startDaemon(Runnable task) {
+        Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
     }
@@ -104,12 +115,12 @@
             InputStream in = new BufferedInputStream(socket.getInputStream());
             for (Request request = readRequest(in); request != null; request = readRequest(in)) {
                 requests.add(request);
-                String answer = responder.apply(request);
-                if (answer.equals(CLOSE_CONNECTION)) {
+                String response = responder.apply(request);
+                if (response.equals(CLOSE_CONNECTION)) {
                     return;
                 }
-                if (!answer.equals(NO_RESPONSE)) {
-                    socket.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
+                if (!response.equals(NO_RESPONSE)) {
+                    socket.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
                 }
             }
         } catch (IOException e) {
@@ -117,19 +128,20 @@
         }
     }
 
+    /** Reads the next request; null at the end of the stream. */
     private static Request readRequest(InputStream in) throws IOException {
-        String line = readLine(in);
-        if (line.isEmpty()) {
+        String requestLine = readLine(in);
+        if (requestLine.isEmpty()) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
         for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
-            String[] halves = header.split(": ?", 2);
-            headers.put(halves[0].toLowerCase(Locale.ROOT), halves[1]);
+            String[] nameAndValue = header.split(": ?", 2);
+            headers.put(nameAndValue[0].toLowerCase(Locale.ROOT), nameAndValue[1]);
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         String body = new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
-        return new Request(line, headers, body, System.nanoTime());
+        return new Request(requestLine, headers, body, System.nanoTime());
     }
 
     private static String readLine(InputStream in) throws IOException {
--- a/src/test/java/drumdeal/relay/UnansweredNoticeTest.java
+++ b/src/test/java/drumdeal/relay/UnansweredNoticeTest.java
@@ -12,12 +12,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When notices that go unanswered are told again, on a clock of the test's own. */
+/** When notices that get no answer are sent again, on a simulated clock. */
 class UnansweredNoticeTest {
-    /** After its time a message that nobody has heard of is lost. */
+    /** A message counts as lost if its notice arrives later than this after its deadline. */
     private static final long NOTICE_DEADLINE_MILLIS = 300;
 
-    private record NoticeCall(long sentAtMillis, String body, long timeoutMillis, AgentClient.ResponseHandler callback) { }
+    private record NoticeCall(long sentAtMillis, String body, long timeoutMillis,
+            AgentClient.ResponseHandler callback) { }
 
     private final EmbeddedChannel embeddedChannel = new EmbeddedChannel();
     private final List<NoticeCall> calls = new ArrayList<>();
@@ -30,12 +31,13 @@
         embeddedChannel.freezeTime();
         notices = new NoticeSender(embeddedChannel.eventLoop(), new Discovery.Agent() {
             @Override
-            public void request(HttpMethod method, String path, String body, long timeoutMs, AgentClient.ResponseHandler answer) {
-                calls.add(new NoticeCall(nowMillis, body, timeoutMs, answer));
+            public void request(HttpMethod method, String path, String body, long timeoutMillis,
+                    AgentClient.ResponseHandler callback) {
+                calls.add(new NoticeCall(nowMillis, body, timeoutMillis, callback));
             }
 
             @Override
-            public void moveTo(InetSocketAddress next) { }
+            public void moveTo(InetSocketAddress address) { }
         }, acknowledged::add);
     }
 
@@ -57,40 +59,42 @@
         notices.send(message);
     }
 
-    /** No answer comes to the last request; the next one follows. */
+    /** Lets the last request time out and waits for the next one. */
     private void timeOutLastCall() {
-        int before = calls.size();
-        NoticeCall silent = lastCall();
-        advanceMillis(silent.timeoutMillis());
-        silent.callback().handle(AgentClient.TIMED_OUT, "");
-        while (calls.size() == before) {
+        int callsBefore = calls.size();
+        NoticeCall unanswered = lastCall();
+        advanceMillis(unanswered.timeoutMillis());
+        unanswered.callback().handle(AgentClient.TIMED_OUT, "");
+        while (calls.size() == callsBefore) {
             advanceMillis(1);
         }
     }
 
     @Test
-    void clumpWhoseNoticesFallSilentTwiceIsToldAThirdTimeBeforeItIsLost() {
+    void batchThatTimesOutTwiceIsSentAThirdTimeBeforeTheNoticeDeadline() {
         endMessage("a");
         endMessage("bb");
         endMessage("ccc");
         timeOutLastCall();
         timeOutLastCall();
-        assertTrue(lastCall().sentAtMillis() < NOTICE_DEADLINE_MILLIS - 50, "told again after ms: " + lastCall().sentAtMillis());
+        assertTrue(lastCall().sentAtMillis() < NOTICE_DEADLINE_MILLIS - 50,
+                "time of the third request, in ms: " + lastCall().sentAtMillis());
         assertEquals(3, lastCall().body().lines().count(), lastCall().body());
         lastCall().callback().handle(204, "");
         assertEquals(3, acknowledged.size());
     }
 
     @Test
-    void agentThatHasBecomeSlowIsWaitedForLongerUntilItAnswers() {
+    void timeoutGrowsForASlowAgentUntilItAnswers() {
         endMessage("a");
-        for (int times = 0; times < 6; times++) {
+        for (int i = 0; i < 6; i++) {
             timeOutLastCall();
         }
-        assertTrue(lastCall().timeoutMillis() >= 500, "patience " + lastCall().timeoutMillis());
+        assertTrue(lastCall().timeoutMillis() >= 500, "timeout in ms: " + lastCall().timeoutMillis());
         lastCall().callback().handle(204, "");
         assertEquals(1, acknowledged.size());
         endMessage("bb");
-        assertTrue(lastCall().timeoutMillis() < NOTICE_DEADLINE_MILLIS / 3, "patience " + lastCall().timeoutMillis());
+        assertTrue(lastCall().timeoutMillis() < NOTICE_DEADLINE_MILLIS / 3,
+                "timeout in ms: " + lastCall().timeoutMillis());
     }
 }
--- a/src/test/java/drumdeal/relay/UpgradeTest.java
+++ b/src/test/java/drumdeal/relay/UpgradeTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Two processes of one relay, of which the newer takes over from the older. */
+/** Two processes of one relay: the newer one takes over from the older one. */
 class UpgradeTest extends RelayTestBase {
     private RelayProcess successor;
 
@@ -42,26 +42,27 @@
     }
 
     @Test
-    void newerProcessServesAndTheOlderLeavesByItself() throws IOException, InterruptedException {
+    void newerProcessServesAndTheOlderExitsByItself() throws IOException, InterruptedException {
         host.respondWith(request -> respondWithStatus(200));
         relay.start();
-        try (Socket kept = relay.connect()) {
-            assertEquals(202, RelayProcess.exchange(kept, RelayProcess.messageRequest("a1", "safe", 7, 9000, "x")).status());
+        try (Socket idle = relay.connect()) {
+            assertEquals(202,
+                    RelayProcess.exchange(idle, RelayProcess.messageRequest("a1", "safe", 7, 9000, "x")).status());
             successor = relay.createSuccessor().start();
             assertEquals(200, successor.sendAdminRequest("GET", "/healthcheck"));
-            assertEquals(-1, kept.getInputStream().read(), "the kept connection closes");
+            assertEquals(-1, idle.getInputStream().read(), "the idle client connection must be closed");
         }
-        assertTrue(relay.waitForExit(), "nobody has told it to end");
+        assertTrue(relay.waitForExit(), "the older process must exit without a signal");
         assertEquals(202, successor.submit("a2", "safe", 7));
         await(() -> countCalls("a1") == 1 && countCalls("a2") == 1);
     }
 
     @Test
-    void callThatIsOutEndsWhereItIsAndIsNotSentAgain() throws IOException, InterruptedException {
-        CountDownLatch served = new CountDownLatch(1);
+    void callInFlightIsFinishedByTheOlderProcessAndNotSentAgain() throws IOException, InterruptedException {
+        CountDownLatch mayRespond = new CountDownLatch(1);
         host.respondWith(request -> {
             try {
-                served.await();
+                mayRespond.await();
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
@@ -72,7 +73,7 @@
         await(() -> countCalls("u1") == 1);
         successor = relay.createSuccessor().start();
         assertTrue(relay.isAlive());
-        served.countDown();
+        mayRespond.countDown();
         assertTrue(relay.waitForExit());
         await(() -> successor.log().contains("serving on"));
         assertEquals(202, successor.submit("u2", "unsafe", 7));
@@ -82,25 +83,27 @@
     }
 
     @Test
-    void messageAtRestIsSentByTheNewerProcessAndWaitsToldToTheOlderAreKept() throws IOException, InterruptedException {
-        AtomicLong refused = new AtomicLong();
+    void waitingMessageIsSentByTheNewerProcessAfterItsRetryDelay() throws IOException, InterruptedException {
+        AtomicLong refusedAtNanos = new AtomicLong();
         host.respondWith(request -> {
-            refused.set(System.nanoTime());
+            refusedAtNanos.set(System.nanoTime());
             return respondWithStatus(429, "X-Come-Back-Ms: 5000");
         });
         relay.start();
         assertEquals(202, relay.submit("w1", "unsafe", 7));
-        await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream()).anyMatch(a -> a.result != null));
+        await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream())
+                .anyMatch(a -> a.result != null));
         host.respondWith(request -> respondWithStatus(200));
         successor = relay.createSuccessor().start();
         assertTrue(relay.waitForExit());
         await(() -> countCalls("w1") == 2);
-        assertTrue(host.requests.get(1).receivedAtNanos() - refused.get() >= 4_900_000_000L, "the wait was cut short");
+        assertTrue(host.requests.get(1).receivedAtNanos() - refusedAtNanos.get() >= 4_900_000_000L,
+                "the message was sent before the retry delay was over");
         await(() -> successor.fetchStats().contains("\"unsafe\":{\"completed\":1,"));
     }
 
     @Test
-    void whatTheOlderProcessHeldWhenItWasKilledIsAdopted() throws IOException {
+    void newerProcessAdoptsOpenMessagesOfAKilledOlderProcess() throws IOException {
         relay.start();
         assertEquals(202, relay.submit("k1", "safe", 7));
         assertEquals(202, relay.submit("u1", "unsafe", 7));
@@ -114,65 +117,69 @@
     }
 
     @Test
-    void olderProcessServesOnWhereTheNewerOneEndsBeforeItListens() throws IOException, InterruptedException {
+    void olderProcessResumesIfTheNewerOneEndsBeforeItListens() throws IOException, InterruptedException {
         relay.start();
-        try (var asking = SocketChannel.open(Handover.socketAddress(relay.stateFolder()))) {
-            requestHandover(asking);
+        try (var toOlder = SocketChannel.open(Handover.socketAddress(relay.stateFolder()))) {
+            requestHandover(toOlder);
             await(() -> relay.log().contains("another process takes over"));
             assertEquals(202, relay.submit("m1", "safe", 7));
-            assertEquals(0, host.requests.size(), "it decides nothing meanwhile");
+            assertEquals(0, host.requests.size(), "a message was sent while decisions were suspended");
         }
         await(() -> countCalls("m1") == 1);
     }
 
-    static void requestHandover(SocketChannel older) throws IOException {
-        writeFrame(older, Handover.FrameType.TAKEOVER_REQUEST, out -> out.writeInt(Handover.VERSION));
+    /** Requests a handover, as a newer process does. */
+    static void requestHandover(SocketChannel channel) throws IOException {
+        writeFrame(channel, Handover.FrameType.TAKEOVER_REQUEST, out -> out.writeInt(Handover.VERSION));
     }
 
-    private static void writeFrame(SocketChannel older, Handover.FrameType word, Handover.PayloadWriter payload) throws IOException {
+    private static void writeFrame(SocketChannel channel, Handover.FrameType type, Handover.PayloadWriter payload)
+            throws IOException {
         byte[] frame = Handover.toBytes(out -> {
-            out.writeByte(word.ordinal());
+            out.writeByte(type.ordinal());
             payload.write(out);
         });
-        older.write(ByteBuffer.wrap(Handover.toBytes(out -> {
+        channel.write(ByteBuffer.wrap(Handover.toBytes(out -> {
             out.writeInt(frame.length);
             out.write(frame);
         })));
     }
 
-    /** The next frame of an older process: its word, and the number that follows it. */
-    private static String readFrame(DataInputStream older) throws IOException {
-        byte[] frame = older.readNBytes(older.readInt());
+    /** Reads the next frame: its type and the first eight bytes after it as a number, with a space between. */
+    private static String readFrame(DataInputStream in) throws IOException {
+        byte[] frame = in.readNBytes(in.readInt());
         return Handover.FrameType.values()[frame[0]] + " " + ByteBuffer.wrap(frame).getLong(1);
     }
 
     @Test
-    void messagesArePassedOnInSmallSteps() throws IOException {
+    void unacknowledgedMessagesInHandoverAreLimited() throws IOException {
         host.respondWith(request -> respondWithStatus(429, "X-Come-Back-Ms: 60000"));
         relay.start();
         assertEquals(202, relay.submit("m0", "safe", 7));
-        await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream()).anyMatch(a -> a.result != null));
+        await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream())
+                .anyMatch(a -> a.result != null));
         for (int i = 1; i <= 20; i++) {
             assertEquals(202, relay.submit("m" + i, "safe", 7));
         }
-        try (var asking = SocketChannel.open(Handover.socketAddress(relay.stateFolder()))) {
-            DataInputStream older = new DataInputStream(Channels.newInputStream(asking));
-            requestHandover(asking);
-            assertTrue(readFrame(older).startsWith("SNAPSHOT "));
-            writeFrame(asking, Handover.FrameType.LISTENING, out -> { });
-            String first = readFrame(older);
+        try (var toOlder = SocketChannel.open(Handover.socketAddress(relay.stateFolder()))) {
+            DataInputStream fromOlder = new DataInputStream(Channels.newInputStream(toOlder));
+            requestHandover(toOlder);
+            assertTrue(readFrame(fromOlder).startsWith("SNAPSHOT "));
+            writeFrame(toOlder, Handover.FrameType.LISTENING, out -> { });
+            String first = readFrame(fromOlder);
             for (int i = 1; i < 16; i++) {
-                assertTrue(readFrame(older).startsWith("MESSAGE "));
+                assertTrue(readFrame(fromOlder).startsWith("MESSAGE "));
             }
             long number = Long.parseLong(first.replace("MESSAGE ", ""));
-            writeFrame(asking, Handover.FrameType.MESSAGE_STORED, out -> out.writeLong(number));
-            assertEquals("MESSAGE_RELEASED " + number, readFrame(older), "no more come before one is acknowledged");
-            assertTrue(readFrame(older).startsWith("MESSAGE "));
+            writeFrame(toOlder, Handover.FrameType.MESSAGE_STORED, out -> out.writeLong(number));
+            assertEquals("MESSAGE_RELEASED " + number, readFrame(fromOlder),
+                    "a message followed before one was acknowledged");
+            assertTrue(readFrame(fromOlder).startsWith("MESSAGE "));
         }
     }
 
     @Test
-    void deadOwnerAndStaleSocketDoNotStopAStart() throws IOException {
+    void deadOwnerAndStaleSocketDoNotPreventAStart() throws IOException {
         relay.start();
         assertEquals(202, relay.submit("d1", "safe", 7));
         await(() -> countCalls("d1") == 1);
@@ -181,10 +188,10 @@
         host.respondWith(request -> respondWithStatus(200));
         relay.start();
         await(() -> countCalls("d1") == 2);
-        // A part that nobody owns, with a socket that nobody serves.
+        // Leaves a process folder that no process owns, with a socket that no process listens on.
         relay.kill();
-        try (StateFolder.LockedFolder first = StateFolder.tryLock(relay.stateFolder())) {
-            assertTrue(first != null, "nobody owns it");
+        try (StateFolder.LockedFolder locked = StateFolder.tryLock(relay.stateFolder())) {
+            assertTrue(locked != null, "the state folder is still locked");
             relay.start();
             relay.kill();
         }
