--- a/src/main/java/drumdeal/DeliveryPolicy.java
+++ b/src/main/java/drumdeal/DeliveryPolicy.java
@@ -5,82 +5,183 @@
 import java.nio.ByteBuffer;
 import java.util.*;
 
-/** Takes every decision of a relay: which route, when, for how long, and whether to hold, reject or fail. */
+/**
+ * Takes every decision of a relay: which route a request is sent to, when and with which time-out, and
+ * whether a request is held, rejected or failed. Times and durations are in microseconds, on the clock of
+ * the rounds.
+ */
 public final class DeliveryPolicy implements Policy {
-    // Circuit breakers
-    private static final int FAILURES_TO_OPEN = 3; // in a row
-    private static final double CALLS_PER_FAILURE = 2; // calls in ten seconds for each failure needed to open
-    private static final long MIN_OPEN_MICROS = 2_000_000; // outages last for seconds
-    private static final long TRIAL_SPACING_MICROS = 1_000_000; // between trials if all relays try one group
-    private static final double JITTER_RATIO = 1; // keeps relays that fail together from returning together
-    private static final double UNHEALTHY_ERROR_RATIO = 0.5; // a higher error rate also opens the circuit
-    private static final double MOVING_AVERAGE_WEIGHT = 0.2; // of the latest call: about the last five count
-
-    // Route scores
-    private static final double MAX_SCORE_GAP = 20; // routes further below the best one get no calls
-    private static final long FAST_RESPONSE_MICROS = 1_000_000; // a faster route gets a bonus
-    private static final long SLOW_RESPONSE_MICROS = 5_000_000; // a slower route gets a penalty
-    private static final double SLOW_RESPONSE_RATIO = 3; // so does one slower than the fastest by this factor
-    private static final double MAX_ZONE_BONUS = 8; // favors near or cheap routes; too small to decide alone
-
-    // Pacing and slow start
-    private static final double PACING_GROWTH_RATIO_PER_SECOND = 0.1; // at first, after a cut
-    private static final double PACING_GROWTH_GAIN_PER_SECOND = 1; // growth speeds up: capacity may be back
-    private static final double PACING_REGAIN_RATIO_PER_SECOND = 1; // doubles, up to the last refused rate
-    private static final double PACING_REGAIN_SHARE = 0.8; // of the last refused rate, then slow growth
-    private static final double MAX_GROWTH_RATIO_PER_SERVED_CALL = 0.05; // bounds what one served call adds
-    private static final double MAX_REGAIN_RATIO_PER_SERVED_CALL = 0.25; // same, up to the last refused rate
-    private static final double MIN_PACING_CUT_RATIO = 0.5; // kept by a cut where next to nothing is served
-    private static final double MIN_FLEET_CALLS_PER_SECOND = 3; // of all relays together, after refusals
-    private static final long MAX_GROWTH_SPAN_MICROS = 2_000_000; // a served call after idling proves little
-    private static final long MIN_CUT_INTERVAL_MICROS = 500_000; // calls refused so soon were sent before it
-    private static final long CONNECTION_BACKOFF_MICROS = 100_000; // about one call: a connection may be free
+    // Circuit breaker
+
+    /** Failures in a row that open a circuit; fewer where calls are rare, see {@link #failuresToOpen}. */
+    private static final int FAILURES_TO_OPEN = 3;
+    /** Calls within ten seconds for each failure that it takes to open a circuit. */
+    private static final double CALLS_PER_FAILURE = 2;
+    /** Shortest time that a circuit stays open before a trial. Outages last for seconds. */
+    private static final long MIN_OPEN_MICROS = 2_000_000;
+    /** Time between the trials of one group if all relays try it. */
+    private static final long TRIAL_SPACING_MICROS = 1_000_000;
+    /**
+     * Width of the random spread of a delay, relative to the delay: 1 means from half of it to one and a half
+     * times it. The spread keeps relays that notice a failure at the same moment from returning at the same
+     * moment.
+     */
+    private static final double JITTER_RATIO = 1;
+    /** Error rate of a route, from 0 to 1, above which its circuit opens even without failures in a row. */
+    private static final double UNHEALTHY_ERROR_RATIO = 0.5;
+    /** Weight of the latest call in moving averages: about the last five calls count. */
+    private static final double MOVING_AVERAGE_WEIGHT = 0.2;
+
+    // Score and route selection
+
+    /** A route whose score is further below the best one than this gets no calls. */
+    private static final double MAX_SCORE_GAP = 20;
+    /** A route with a shorter expected response time gets a bonus. */
+    private static final long FAST_RESPONSE_MICROS = 1_000_000;
+    /** A route with a longer expected response time gets a penalty. */
+    private static final long SLOW_RESPONSE_MICROS = 5_000_000;
+    /** So does a route that is slower than the fastest of the routes compared by more than this factor. */
+    private static final double SLOW_RESPONSE_RATIO = 3;
+    /** Highest bonus for a near or cheap zone: it shifts the choice, but cannot decide it alone. */
+    private static final double MAX_ZONE_BONUS = 8;
+
+    // Pacing
+
+    /** Growth of the pacing rate per second just after a cut. */
+    private static final double PACING_GROWTH_RATIO_PER_SECOND = 0.1;
+    /**
+     * Increase of this growth, as a multiple of it, for each second since the cut: the longer nothing is
+     * refused, the likelier the destination has capacity again.
+     */
+    private static final double PACING_GROWTH_GAIN_PER_SECOND = 1;
+    /** Growth per second (1 means doubling) while the rate is well below the one last refused. */
+    private static final double PACING_REGAIN_RATIO_PER_SECOND = 1;
+    /** Share of the last refused rate that is regained quickly; slow growth finds the rest. */
+    private static final double PACING_REGAIN_SHARE = 0.8;
+    /** Most that one served call adds to the pacing rate in slow growth. */
+    private static final double MAX_GROWTH_RATIO_PER_SERVED_CALL = 0.05;
+    /** Most that one served call adds while the rate is regained quickly. */
+    private static final double MAX_REGAIN_RATIO_PER_SERVED_CALL = 0.25;
+    /** A cut keeps at least this share of the rate, even where next to nothing is served. */
+    private static final double MIN_PACING_CUT_RATIO = 0.5;
+    /** Lowest rate after refusals, of all relays together. */
+    private static final double MIN_FLEET_CALLS_PER_SECOND = 3;
+    /**
+     * Longest time for which one served call allows growth: a call served after a long idle time proves
+     * little.
+     */
+    private static final long MAX_GROWTH_SPAN_MICROS = 2_000_000;
+    /** Shortest time between two cuts: calls that are refused sooner were sent before the first cut. */
+    private static final long MIN_CUT_INTERVAL_MICROS = 500_000;
+    /**
+     * Pause after a call found all connections of its destination taken. It lasts for about one call, after
+     * which a connection may be free.
+     */
+    private static final long CONNECTION_BACKOFF_MICROS = 100_000;
+    /** How often this pause doubles at most while the connections stay taken. */
     private static final int MAX_CONNECTION_BACKOFF_DOUBLINGS = 4;
-    private static final long OUTAGE_RETRY_AFTER_MICROS = 2_500_000; // beyond any limit's window: an outage
-    private static final long OUTAGE_REFUSAL_SPAN_MICROS = 3_000_000; // refusals alone so long: an outage
-    private static final double SLOW_START_MARGIN_RATIO = 0.9; // of the load that the service rules allow
-    private static final double MIN_FLEET_SLOW_START_PER_SECOND = 0.75; // of all relays, if nothing is known
-    private static final double ROUGH_RATE_DIVISOR = 1.5; // a rough rate may be half too high
-
-    // Time-outs and unanswered calls
-    private static final long MIN_TIMEOUT_MICROS = 4_000_000; // a merely slow call must not be sent twice
-    private static final long MIN_OVERDUE_MICROS = 2_500_000; // longer than most goals
-    private static final double OVERDUE_RATIO = 8; // times the expected response: work varies that much
-    private static final long MIN_CANCEL_AGE_MICROS = 1_000_000; // slot is wanted, and a retry may follow
-    private static final long MIN_LOSSY_CANCEL_AGE_MICROS = 400_000; // same, while answers get lost
-    private static final double CANCEL_AGE_RATIO = 5; // times the expected response, in both cases
-    private static final long MIN_TRIAL_TIMEOUT_MICROS = 1_500_000; // a longer trial tells no more
-    private static final double TRIAL_TIMEOUT_RATIO = 4; // times the expected response, where longer
-    private static final double MAX_TIMEOUT_SHARE = 0.7; // of the longest time limit, or of the request's own
-    private static final long INITIAL_RESPONSE_MICROS = 400_000; // assumed before the first answer
-    private static final long STALE_RESPONSE_MICROS = 5_000_000; // an older time says nothing of the present
-
-    // Overload, slots and restarts
-    private static final double OVERLOAD_EXPIRED_SHARE = 0.02; // of a destination's requests that expire
-    private static final double MIN_SIGNIFICANT_LOSSES = 3; // in ten seconds; fewer prove little
-
-    private static final double MAX_SLOT_SHARE = 0.5; // of all slots, for one group
-    private static final double MAX_SCARCE_SLOT_SHARE = 0.2; // for a slow one, or any while slots are scarce
-    private static final double SLOTS_SCARCE_FROM_SHARE = 0.75; // of the slots in use: the rest is for others
-
-    private static final long RESUMED_CALL_LEAD_MICROS = 1_000_000; // before the deadline, for a last call
-    private static final double RESUMED_CALL_LEAD_RATIO = 2; // times the expected response, where longer
-    private static final long RESTART_MICROS = 3_500_000; // until the next process can make calls
-
-    // Notes between relays
-    private static final long COORDINATION_MICROS = 10_000_000; // relays ask for tokens so long after a note
-    private static final long TOKEN_TIMEOUT_MICROS = 8_000_000; // then it counts as lost; own pacing applies
-    private static final double COORDINATOR_CUT_RATIO = 0.8; // gentle: it receives the refusals of all relays
-    private static final double MAX_LIMIT_RATIO = 2; // a rough rate may be this much too low
-
+    /** A longer retry-after time means an outage, as it exceeds the counting window of any limit. */
+    private static final long OUTAGE_RETRY_AFTER_MICROS = 2_500_000;
+    /** Refusals for so long, without one served call, are treated as an outage. */
+    private static final long OUTAGE_REFUSAL_SPAN_MICROS = 3_000_000;
+
+    // Slow start after an outage
+
+    /** Share that is used of the load allowed by the service rules. */
+    private static final double SLOW_START_MARGIN_RATIO = 0.9;
+    /** Lowest rate of a slow start, of all relays together; it applies where nothing else is known. */
+    private static final double MIN_FLEET_SLOW_START_PER_SECOND = 0.75;
+    /** A listed rate that is only rough is divided by this, as it may be half too high. */
+    private static final double ROUGH_RATE_DIVISOR = 1.5;
+
+    // Time-outs and silence
+
+    /**
+     * Shortest time-out of a call that may be repeated: a call that is merely slow must not be sent twice.
+     */
+    private static final long MIN_TIMEOUT_MICROS = 4_000_000;
+    /** Shortest time after which a call is overdue. It is longer than the goals of most classes. */
+    private static final long MIN_OVERDUE_MICROS = 2_500_000;
+    /** Multiple of the expected response time after which a call is overdue: work varies that much. */
+    private static final double OVERDUE_RATIO = 8;
+    /** Shortest age at which a call is cancelled if another request wants its slot and a retry may follow. */
+    private static final long MIN_CANCEL_AGE_MICROS = 1_000_000;
+    /** The same while answers get lost. */
+    private static final long MIN_LOSSY_CANCEL_AGE_MICROS = 400_000;
+    /** Both ages as a multiple of the expected response time, where that is longer. */
+    private static final double CANCEL_AGE_RATIO = 5;
+    /** Shortest time-out of a trial. Waiting longer than that for an answer tells no more. */
+    private static final long MIN_TRIAL_TIMEOUT_MICROS = 1_500_000;
+    /** The same as a multiple of the expected response time, where that is longer. */
+    private static final double TRIAL_TIMEOUT_RATIO = 4;
+    /**
+     * Longest time-out as a share of a time limit: the longest one of all classes, or that of the request's
+     * own class.
+     */
+    private static final double MAX_TIMEOUT_SHARE = 0.7;
+    /** Expected response time of a route before its first answer. */
+    private static final long INITIAL_RESPONSE_MICROS = 400_000;
+    /** A response time as old as this says nothing about the present. */
+    private static final long STALE_RESPONSE_MICROS = 5_000_000;
+
+    // Overload
+
+    /** A destination is overloaded if a larger share than this of its requests expires. */
+    private static final double OVERLOAD_EXPIRED_SHARE = 0.02;
+    /** Fewer losses within ten seconds are too few to draw conclusions from. */
+    private static final double MIN_SIGNIFICANT_LOSSES = 3;
+
+    // Slots
+
+    /** Most slots that one group may hold, as a share of all. */
+    private static final double MAX_SLOT_SHARE = 0.5;
+    /** The same for a slow group, and for any group while slots are scarce. */
+    private static final double MAX_SCARCE_SLOT_SHARE = 0.2;
+    /** Slots are scarce if a larger share than this is in use: the rest is for other destinations. */
+    private static final double SLOTS_SCARCE_FROM_SHARE = 0.75;
+
+    // Restarts
+
+    /** How long before its deadline a request resumed after a restart is called whatever the pacing rate. */
+    private static final long RESUMED_CALL_LEAD_MICROS = 1_000_000;
+    /** The same as a multiple of the expected response time, where that is longer. */
+    private static final double RESUMED_CALL_LEAD_RATIO = 2;
+    /** Time that a restart takes until the next process can make calls. */
+    private static final long RESTART_MICROS = 3_500_000;
+
+    // Token coordination between relays
+
+    /** How long all relays request tokens for a group after a note that coordination has started. */
+    private static final long COORDINATION_MICROS = 10_000_000;
+    /** A token that has not come by then counts as lost, and the relay goes by its own pacing rate. */
+    private static final long TOKEN_TIMEOUT_MICROS = 8_000_000;
+    /**
+     * What remains of the limit after a refusal. The cut is gentle, as a coordinator receives the refusals of
+     * all relays.
+     */
+    private static final double COORDINATOR_CUT_RATIO = 0.8;
+    /** Highest multiple of the known limit that is granted: a rough rate may be this much too low. */
+    private static final double MAX_LIMIT_RATIO = 2;
+
+    // Timers and general
+
+    /** Time constant of event rates: a relay may call a destination only once in so long. */
     private static final long RATE_TIME_CONSTANT_MICROS =
-            DecayingRate.DEFAULT_TIME_CONSTANT_MICROS; // a relay may call a destination only once in so long
-    private static final double MIN_OBSERVED_SHARE = 0.4; // of the time constant: a first burst is not usual
+            DecayingRate.DEFAULT_TIME_CONSTANT_MICROS;
+    /**
+     * Shortest time that a rate is taken over, as a share of its time constant. A first burst of events would
+     * otherwise pass for the usual rate.
+     */
+    private static final double MIN_OBSERVED_SHARE = 0.4;
     private static final long MICROS_PER_SECOND = 1_000_000;
-    private static final long WAITING_HORIZON_MICROS = 2_000_000; // a waiting request may wait longer by this
-    private static final long WAKE_UP_TIMER = 1; // for whatever is due next
-    private static final long SUBSCRIBE_TIMER = 2; // for subscribing to the route list again
-    private static final long SUBSCRIBE_RETRY_MICROS = 3_000_000; // well below maxDiscoveryIntervalMicros
+    /** How much longer a request may wait if others go first; used to compare what waiting costs. */
+    private static final long WAITING_HORIZON_MICROS = 2_000_000;
+    /** Number of the timer for whatever is due next. */
+    private static final long WAKE_UP_TIMER = 1;
+    /** Number of the timer for subscribing to the route list again. */
+    private static final long SUBSCRIBE_TIMER = 2;
+    /** Delay before subscribing again, far below {@link ServiceRules#maxDiscoveryIntervalMicros}. */
+    private static final long SUBSCRIBE_RETRY_MICROS = 3_000_000;
 
     private Settings settings;
     private final SplittableRandom random;
@@ -89,34 +190,54 @@
     private final Map<String, Route> routes = new LinkedHashMap<>();
     private final Map<Integer, Destination> destinations = new LinkedHashMap<>();
     private final Map<Integer, LimitGroup> groups = new HashMap<>();
-    private final Set<LimitGroup> coordinatedGroups = new LinkedHashSet<>(); // with relays awaiting tokens
-    private final Map<Long, Request> requests = new HashMap<>(); // by id
-    private final Map<String, KeyQueue> keyQueues = new HashMap<>(); // by order key
+    /** Groups that this relay coordinates and for which relays await tokens. */
+    private final Set<LimitGroup> coordinatedGroups = new LinkedHashSet<>();
+    /** By id. */
+    private final Map<Long, Request> requests = new HashMap<>();
+    /** By order key. */
+    private final Map<String, KeyQueue> keyQueues = new HashMap<>();
     private static final Comparator<Request> BY_EXPIRY =
             Comparator.<Request>comparingLong(r -> r.expiresAt).thenComparingLong(r -> r.id);
     private final TreeSet<Request> requestsByExpiry = new TreeSet<>(BY_EXPIRY);
     private final ResumedRequests resumedRequests = new ResumedRequests();
-    /** Destinations with waiting requests; a round's work grows with these, not with all known ones. */
+    /**
+     * Destinations with waiting requests. The work of a round grows with their number, however many
+     * destinations are known.
+     */
     private final Set<Destination> waitingDestinations = new LinkedHashSet<>();
-    private final Set<Call> callsInFlight = new LinkedHashSet<>(); // oldest first; each holds a slot
-    private final DecayingRate lateAnswerRate = new DecayingRate(0); // slow calls that were answered
-    private final DecayingRate lostAnswerRate = new DecayingRate(0); // slow calls that were never answered
+    /** Calls in flight, oldest first; each holds a slot. */
+    private final Set<Call> callsInFlight = new LinkedHashSet<>();
+    /** Calls that were in flight for long, measured by their route, and were answered after all. */
+    private final DecayingRate lateAnswerRate = new DecayingRate(0);
+    /** Calls that were in flight for long, measured by their route, and were never answered. */
+    private final DecayingRate lostAnswerRate = new DecayingRate(0);
+    /** The longest time limit of all request classes. */
     private long longestTimeLimitMicros;
+    /** Time of the current round, in microseconds. */
     private long now;
     private Actions actions;
-    private int openRequestCount; // accepted or resumed, and not ended
-    private int predecessorCallsInFlight; // of the process that this one replaces; they hold slots
-    private long wakeUpAt = Long.MAX_VALUE; // when the wake-up timer fires; MAX_VALUE where not set
+    /** Requests accepted or resumed that have not ended. */
+    private int openRequestCount;
+    /** Calls in flight of the process of this relay that this one replaces. They hold slots. */
+    private int predecessorCallsInFlight;
+    /** When the wake-up timer fires; {@code Long.MAX_VALUE} if it is not set. */
+    private long wakeUpAt = Long.MAX_VALUE;
     private boolean subscriptionRequested;
     private boolean shuttingDown;
-    private long listStaleSince; // from when on changes to the list may have been missed
-    private long listExpiresAt = Long.MAX_VALUE; // from when on those changes count as received
-
+    /** From when on changes to the route list may have been missed. */
+    private long listStaleSince;
+    /**
+     * From when on the missed changes count as received; {@code Long.MAX_VALUE} while the list is up to date.
+     */
+    private long listExpiresAt = Long.MAX_VALUE;
+
+    /** Creates a policy that knows nothing but its settings. */
     public DeliveryPolicy(Settings settings) {
         random = new SplittableRandom(settings.seed());
         applySettings(settings);
     }
 
+    /** Replaces all settings. Accepted requests keep their terms, and what was learned of routes remains. */
     private void applySettings(Settings newSettings) {
         settings = newSettings;
         classes.clear();
@@ -145,14 +266,20 @@
         }
     }
 
-    /** Counts routes that drain, have an open circuit or asked to wait, not those short of rate or slots. */
+    /**
+     * Counts the listed routes that drain, have an open circuit or asked to wait, but not those that only
+     * wait for their pacing rate or a slot.
+     */
     @Override
     public int countUnavailableRoutes(long now) {
         return (int) routes.values().stream().filter(r -> r.inRouteList).filter(r -> !r.listedInService
                 || now < r.group.retryAfterUntil || isCircuitTripped(r)).count();
     }
 
-    /** Such a note goes to every relay and allows no new call, so no relay spends a dispatch on it. */
+    /**
+     * True for a note that starts coordination of a group. It allows no new call, and every relay gets it:
+     * without this check, each one would cost the work of a whole dispatch at every relay of the fleet.
+     */
     private static boolean isCoordinationStart(Event event) {
         return event instanceof PeerNote e && e.payload().length > 0
                 && PeerNoteType.fromOrdinal(e.payload()[0]) == PeerNoteType.COORDINATION_START;
@@ -199,7 +326,10 @@
         return LearnedStateCodec.encode(destinations, groups, routes);
     }
 
-    /** Applies the call's retry-after and result here too: to endpoints, both processes are one relay. */
+    /**
+     * Applies the retry-after time and the result of a call of the predecessor here too: to the endpoints,
+     * both processes are one relay.
+     */
     private void onPredecessorCallEnded(PredecessorCallEnded e) {
         predecessorCallsInFlight = e.predecessorCallsInFlight();
         Route route = routes.get(e.route());
@@ -212,12 +342,18 @@
         }
     }
 
+    /**
+     * True if a trial is marked as in flight and no call of this process to the route's group is that trial.
+     */
     private boolean hasPredecessorTrial(Route route) {
         return (route.circuit.trialInFlight || route.group.circuit.trialInFlight)
                 && callsInFlight.stream().noneMatch(call -> call.trial && call.route.group == route.group);
     }
 
-    /** Ends a trial of the predecessor, whose result never comes; the circuit would stay half-open. */
+    /**
+     * Ends a trial that the predecessor took with it. Its result will never come, and the circuit would stay
+     * half-open.
+     */
     private void clearPredecessorTrial(Route route) {
         if (hasPredecessorTrial(route)) {
             route.circuit.trialInFlight = false;
@@ -225,8 +361,9 @@
         }
     }
 
+    /** How many calls this process may have in flight: it shares the slots with its predecessor. */
     private int slotLimit() {
-        return settings.limits().callSlots() - predecessorCallsInFlight; // both processes share the slots
+        return settings.limits().callSlots() - predecessorCallsInFlight;
     }
 
     private void onRequestAccepted(RequestAccepted e) {
@@ -236,7 +373,10 @@
         }
     }
 
-    /** Past attempts count; one without a known result may have executed and cannot be answered any more. */
+    /**
+     * Continues a request from before a restart. Its past attempts count. One without a known result may have
+     * executed and can no longer be answered.
+     */
     private void onRequestResumed(RequestResumed e) {
         Request request = addRequest(e.request());
         for (PastAttempt past : e.attempts()) {
@@ -246,15 +386,19 @@
             pauseKeyQueueIfUncertain(request, attempt.result);
         }
         resumedRequests.add(request, e.attempts().stream().allMatch(p -> p.result() == Result.NOT_SENT));
+        // The restored list may be older than the destination, and its next regular fetch may be far off.
         if (request.destination.routes.values().stream().noneMatch(route -> route.listedInService)) {
-            actions.fetchRouteList(); // the list may be older than the destination, its next fetch far off
+            actions.fetchRouteList();
         }
         dequeue(request);
         requeueOrEnd(request);
     }
 
-    /** Calls requests found at restart whatever the pacing: shortly before their deadlines or, if a circuit
-     * is open, as early as a cold destination bears: a fleet's last calls at once would overload it. */
+    /**
+     * Calls requests found at a restart shortly before their deadlines, whatever the pacing rate. Where a
+     * circuit was restored open, they go out earlier, at the rate that a cold destination bears: a fleet with
+     * many such requests would otherwise overload it with all of them at their deadlines.
+     */
     private void callResumedRequests() {
         for (Request request : resumedRequests.untriedRequests.stream().filter(this::isNextForKey)
                 .sorted(BY_EXPIRY).toList()) {
@@ -270,19 +414,29 @@
         }
     }
 
+    /** True if the circuit of the route or of its group is open or half-open. */
     private static boolean isCircuitTripped(Route route) {
         return route.circuit.state != CircuitState.CLOSED || route.group.circuit.state != CircuitState.CLOSED;
     }
 
+    /**
+     * When a request found at a restart may be called at the route, whatever the pacing rate. Where a circuit
+     * is tripped, that is early, unless the class is ONCE or the group holds its share of the slots: while
+     * nothing answers, such calls hold their slots to the end.
+     */
     private long resumedCallAt(Request request, Route route) {
         boolean callEarly = isCircuitTripped(route) && request.requestClass.idempotency() != Idempotency.ONCE
-                && !exceedsSlotShare(route.group, route); // unanswered calls would hold slots to the end
+                && !exceedsSlotShare(route.group, route);
         long latest = request.deadline - (long) Math.max(RESUMED_CALL_LEAD_MICROS,
                 RESUMED_CALL_LEAD_RATIO * expectedResponseMicros(route));
         return Math.max(callEarly ? now : latest,
                 Math.max(route.group.retryAfterUntil, route.group.nextResumedCallAt));
     }
 
+    /**
+     * Tracks a request and queues it. Its class may be missing from the settings only if it brings its own
+     * terms.
+     */
     private Request addRequest(RequestAccepted e) {
         RequestClass requestClass = classes.get(e.requestClassName());
         if (requestClass == null && e.terms() == null) {
@@ -318,23 +472,34 @@
         return destinations.computeIfAbsent(number, n -> new Destination(now));
     }
 
-    /** Makes room: at the limit, the relay would reject even valuable requests before they get here. */
+    /**
+     * Ends the waiting request of the least value, to make room. With its buffer full, the relay would reject
+     * requests before their value is looked at.
+     */
     private void shedLeastValuable() {
         waitingDestinations.stream().flatMap(destination -> destination.waiting.stream())
                 .filter(r -> !r.resumedUntried && isSafeToReject(r))
                 .min(Comparator.comparingDouble(r -> valueAt(r, now))).ifPresent(this::endUndelivered);
     }
 
+    /**
+     * True if the client may safely repeat the request: it has certainly not executed, or a repeat has no
+     * further effect.
+     */
     private boolean isSafeToReject(Request request) {
-        return firstPossiblyExecutedAttempt(request) == null // a client may repeat a rejected request
+        return firstPossiblyExecutedAttempt(request) == null
                 || isRepeatableAnywhere(request.requestClass) && now < repeatableUntil(request);
     }
 
+    /** True if a request of the class may be sent again to any route of its destination. */
     private static boolean isRepeatableAnywhere(RequestClass type) {
         return type.idempotency() == Idempotency.REPEATABLE
                 || type.idempotency() == Idempotency.BY_KEY && type.keyScope() == KeyScope.ALL;
     }
 
+    /**
+     * Rejects a request if the client may safely repeat it, else fails it. No attempt of it may be in flight.
+     */
     private void endUndelivered(Request request) {
         if (isSafeToReject(request)) {
             actions.rejectRequest(request.id,
@@ -345,12 +510,17 @@
         finish(request);
     }
 
+    /**
+     * How long the client should wait before it repeats the request: until a route of the destination may be
+     * usable again, but at least half a second; one second if that time is unknown.
+     */
     private long retryDelayMicros(Request request) {
         long freeAt = request.destination.routes.values().stream().filter(route -> route.listedInService)
                 .mapToLong(this::usableOrTrialAt).min().orElse(Long.MAX_VALUE);
         return freeAt == Long.MAX_VALUE ? MICROS_PER_SECOND : Math.max(MICROS_PER_SECOND / 2, freeAt - now);
     }
 
+    /** Marks an open request as ended and stops scheduling it. */
     private void finish(Request request) {
         request.done = true;
         Optional.ofNullable(resumedRequests.recordTriedOrEnded(request, false)).ifPresent(actions::log);
@@ -360,6 +530,7 @@
         forgetIfSettled(request);
     }
 
+    /** Forgets an ended request once no attempt of it is in flight. */
     private void forgetIfSettled(Request request) {
         if (!request.done || request.attemptsInFlight > 0) {
             return;
@@ -374,6 +545,10 @@
         }
     }
 
+    /**
+     * True unless the request must wait for an earlier one of its key, or for the pause after an attempt of
+     * the key whose outcome is unknown. The pause holds back only first attempts.
+     */
     private boolean isNextForKey(Request request) {
         if (request.orderKey == null) {
             return true;
@@ -382,12 +557,18 @@
         return queue.requests.peek() == request && (!request.attempts.isEmpty() || queue.pausedUntil <= now);
     }
 
-    /** While shutting down, true also for a request that the next process could not call in time. */
+    /**
+     * True if the request is out of time. While shutting down, that includes a request that the next process
+     * could not call in time.
+     */
     private boolean isExpired(Request request) {
         return request.expiresAt <= now + (shuttingDown ? RESTART_MICROS : 0);
     }
 
-    /** Ends requests out of time; one with an attempt in flight ends when that reports its time-out. */
+    /**
+     * Ends requests that are out of time. One with an attempt in flight ends when that attempt reports its
+     * time-out.
+     */
     private void endExpired() {
         while (!requestsByExpiry.isEmpty() && isExpired(requestsByExpiry.first())) {
             Request request = requestsByExpiry.pollFirst();
@@ -398,6 +579,10 @@
         }
     }
 
+    /**
+     * Value of the request if it is delivered at a time: full until its goal, then falling, and 0 from its
+     * deadline on.
+     */
     private double valueAt(Request request, long deliveredAt) {
         RequestClass type = request.requestClass;
         long age = deliveredAt - request.acceptedAt;
@@ -408,7 +593,8 @@
             return 0;
         }
         double lateness = age - type.goalMicros();
-        double share = settings.lateValueHalves() // with each further goal span; else it falls evenly
+        // Halves with each further goal duration, or falls evenly; in both cases to the late share.
+        double share = settings.lateValueHalves()
                 ? Math.max(type.lateValueShare(), Math.pow(0.5, lateness / Math.max(1, type.goalMicros())))
                 : 1 - (1 - type.lateValueShare()) * lateness / (type.timeLimitMicros() - type.goalMicros());
         return type.value() * share;
@@ -431,10 +617,12 @@
             call.route.callsInFlight.remove(call);
             call.route.group.callsInFlight--;
         }
-        applyRetryAfter(call.route.group, e.retryAfterMicros()); // each of a call's attempts may bring one
+        // The retry-after time may have been given to only some of the requests of a call.
+        applyRetryAfter(call.route.group, e.retryAfterMicros());
         if (!call.resultRecorded) {
             call.resultRecorded = true;
-            boolean tooEarly = e.result() == Result.TIMEOUT // due to the deadline, not to the route
+            // The route is not to blame for a request that was sent shortly before its deadline.
+            boolean tooEarly = e.result() == Result.TIMEOUT
                     && e.elapsedMicros() < trialTimeoutMicros(request, call.route);
             countLateOrLostAnswer(call, e.result(), e.elapsedMicros());
             recordResult(call, tooEarly ? Result.NOT_SENT : e.result(), e.retryAfterMicros(),
@@ -451,12 +639,17 @@
         }
     }
 
+    /** Holds back calls to the group for the time that it asked for; 0 where it asked for none. */
     private void applyRetryAfter(LimitGroup group, long retryAfter) {
         if (retryAfter > 0) {
             group.retryAfterUntil = Math.max(group.retryAfterUntil, now + retryAfter);
         }
     }
 
+    /**
+     * Pauses the request's key for the time that the rules ask for if the attempt may have executed
+     * unanswered.
+     */
     private void pauseKeyQueueIfUncertain(Request request, Result result) {
         boolean answered = result == Result.OK || result == Result.ERROR;
         if (request.orderKey != null && !answered && !result.provesNoEffect()) {
@@ -465,13 +658,16 @@
         }
     }
 
+    /** The oldest attempt whose result does not prove that it had no effect; null if there is none. */
     private static Attempt firstPossiblyExecutedAttempt(Request request) {
         return request.attempts.stream().filter(past -> past.result == null || !past.result.provesNoEffect())
                 .findFirst().orElse(null);
     }
 
+    /** Queues a request for its next attempt, or ends it if no further attempt is allowed. */
     private void requeueOrEnd(Request request) {
-        requestsByExpiry.remove(request); // it must not wait for an attempt that its class forbids
+        // It must not wait until its deadline for an attempt that its class does not allow any more.
+        requestsByExpiry.remove(request);
         request.expiresAt = Math.min(request.deadline, repeatableUntil(request));
         requestsByExpiry.add(request);
         if (isExpired(request) || request.attempts.size() >= request.maxAttempts) {
@@ -481,6 +677,7 @@
         }
     }
 
+    /** Applies the result of a call, once for the whole call, to its route and its group. */
     private void recordResult(Call call, Result result, long retryAfter, long elapsed, LimitReport report) {
         Route route = call.route;
         LimitGroup group = route.group;
@@ -494,7 +691,8 @@
         switch (result) {
             case OK -> onServed(call, elapsed);
             case ERROR, TIMEOUT, CONNECT_FAILED, CANCELLED -> onFailed(call, 1);
-            case RESET -> onFailed(call, 0); // healthy routes break connections too; failed ones refuse them
+            // Healthy routes break connections too, whereas a failed one refuses new connections.
+            case RESET -> onFailed(call, 0);
             case FULL -> onRefused(call, retryAfter);
             case CROWDED -> onCrowded(call);
             case NOT_SENT -> { }
@@ -528,14 +726,18 @@
         }
     }
 
+    /** Slow growth since a time, limited to the span that served calls can justify. */
     private double growthFactor(long since) {
         return Math.pow(1 + PACING_GROWTH_RATIO_PER_SECOND,
                 Math.min(MAX_GROWTH_SPAN_MICROS, now - since) / (double) MICROS_PER_SECOND);
     }
 
-    /** Grows quickly to near the last refused rate, then slowly, but faster the longer nothing is refused.
-     * The bound for each served call keeps relays that call rarely from doubling their rates by one call and
-     * exceeding the limit together, again and again. The price is slower growth once a limit is back. */
+    /**
+     * Raises the pacing rate after a served call: quickly to near the last refused rate, then slowly, but
+     * faster the longer nothing is refused. The bound for each served call is for relays that call rarely:
+     * one call would double the rate of each, and all together would exceed the limit, again and again. The
+     * price is slower growth once a limit is back.
+     */
     private void growPacingRate(LimitGroup group) {
         double span = Math.min(MAX_GROWTH_SPAN_MICROS, now - group.lastGrownAt) / (double) MICROS_PER_SECOND;
         double secondsSinceCut = Math.min(now - group.lastCutAt,
@@ -553,6 +755,10 @@
         group.lastGrownAt = now;
     }
 
+    /**
+     * Closes the circuit after a served call. A call sent before the circuit opened closes it only if it was
+     * opened because of missing answers.
+     */
     private void closeCircuit(Call call, CircuitBreaker circuit, Route route) {
         circuit.consecutiveFailures = 0;
         if (circuit.state == CircuitState.CLOSED) {
@@ -560,7 +766,7 @@
         }
         boolean sentBeforeOpening = call.sentAt < circuit.openedAt;
         if (sentBeforeOpening && !circuit.openedBySilence) {
-            return; // an answer to an older call only disproves silence
+            return;
         }
         circuit.state = CircuitState.CLOSED;
         route.errorRate = 0;
@@ -573,11 +779,14 @@
         }
     }
 
+    /**
+     * Counts a failed call; a weight of 0 counts in the error rate, but not as one of the failures in a row.
+     */
     private void onFailed(Call call, int weight) {
         Route route = call.route;
         LimitGroup group = route.group;
         route.errorRate += MOVING_AVERAGE_WEIGHT * (1 - route.errorRate);
-        route.circuit.consecutiveFailures += weight; // 0 for a broken connection
+        route.circuit.consecutiveFailures += weight;
         boolean unhealthy = route.circuit.consecutiveFailures >= failuresToOpen(group)
                 || route.errorRate > UNHEALTHY_ERROR_RATIO;
         if (unhealthy || route.circuit.state != CircuitState.CLOSED && call.trial) {
@@ -595,11 +804,15 @@
             reportToCoordinator(group, PeerNoteType.CALL_FAILED);
         }
         if (isInSlowStart(group.slowStartedAt)) {
-            group.slowStartedAt = now; // the outage may go on: the slow start begins again
+            // The outage may go on, so the slow start begins again.
+            group.slowStartedAt = now;
         }
     }
 
-    /** Leaves the connections to other relays for a while; a lower pacing rate would not free one. */
+    /**
+     * Leaves the connections of the route to other relays for a while. A lower pacing rate here would not
+     * free one.
+     */
     private void onCrowded(Call call) {
         Route route = call.route;
         openIfInOutage(route.group, 0);
@@ -607,7 +820,10 @@
                 << Math.min(route.consecutiveCrowdedResults++, MAX_CONNECTION_BACKOFF_DOUBLINGS));
     }
 
-    /** A destination in an outage may refuse as if above its limit, but returns cold: it needs slow start. */
+    /**
+     * Opens the circuit of the group if its refusals indicate an outage. A destination in an outage refuses
+     * calls like one above its limit, but it returns cold and needs a slow start.
+     */
     private void openIfInOutage(LimitGroup group, long retryAfter) {
         if (group.consecutiveRefusals++ == 0) {
             group.refusedSince = now;
@@ -620,6 +836,10 @@
         }
     }
 
+    /**
+     * Delays the next call after a refusal, and cuts the pacing rate unless the call was sent before the last
+     * cut.
+     */
     private void onRefused(Call call, long retryAfter) {
         LimitGroup group = call.route.group;
         openIfInOutage(group, retryAfter);
@@ -634,9 +854,12 @@
         reportToCoordinator(group, PeerNoteType.CALL_REFUSED);
     }
 
-    /** The first cut goes to this relay's share of a known limit, others to the served part of the recent
-     * rate. Thus one refusal at each relay does not take the fleet far below the limit. Relays can go below
-     * their shares, as refused calls use up the limit too and the fleet would otherwise stay above it. */
+    /**
+     * Cuts the pacing rate. The first cut goes to this relay's share of the limit, where one is known; any
+     * other goes to the served part of the recent rate. Thus one refusal at each relay does not take the
+     * fleet far below the limit. Nor does the fleet stay above it, as it would if no relay went below its
+     * share while refused calls use up the limit too.
+     */
     private void cutPacingRate(LimitGroup group) {
         double limit = fleetLimitPerSecond(group);
         double rate = Math.min(group.pacingRate, recentSendRate(group));
@@ -646,7 +869,8 @@
                 ? Math.max(limit / settings.fleetSize(), ratePerSecond(group.servedRate) / 2)
                 : Math.max(MIN_FLEET_CALLS_PER_SECOND / settings.fleetSize(),
                         rate * Math.max(MIN_PACING_CUT_RATIO, servedShare));
-        // In a run of refusals, only the highest rate still tells what was served before it.
+        // After several cuts with nothing served in between, only the highest rate still shows what was
+        // served before them.
         group.refusedPacingRate = group.servedSinceCut > 0 ? rate : Math.max(rate, group.refusedPacingRate);
         group.lastCutAt = now;
         group.lastGrownAt = now;
@@ -654,13 +878,15 @@
         group.refusedSinceCut = 0;
     }
 
+    /** Opens the circuit, or keeps it open, until the next trial is due. */
     private void openCircuit(CircuitBreaker circuit, LimitGroup group, boolean bySilence, long retryAfter) {
         if (circuit.state == CircuitState.CLOSED) {
             circuit.openedAt = now;
             circuit.openedBySilence = bySilence;
             if (circuit == group.circuit) {
+                // The rate during a slow start is not the usual one.
                 if (!isInSlowStart(group.slowStartedAt)) {
-                    group.usualRate = ratePerSecond(group.sentRate); // a slow start shows no usual rate
+                    group.usualRate = ratePerSecond(group.sentRate);
                 }
                 String reason = bySilence ? ", silent" : "";
                 actions.log("out: " + group.routes.get(0).name + reason + " (failures in a row "
@@ -673,18 +899,25 @@
         circuit.openUntil = now + Math.max(retryAfter, trialDelayMicros(group));
     }
 
-    /** A relay tries as often as its share of what a cold destination bears: the trials of a whole fleet
-     * could keep it down. The price: at a relay that calls it rarely, requests wait long. */
+    /**
+     * Time until the next trial. A relay tries as often as its share of the calls that a cold destination
+     * bears, as the trials of a whole fleet could keep the destination down. The price: requests wait long at
+     * a relay that calls the destination rarely.
+     */
     private long trialDelayMicros(LimitGroup group) {
         long cap = settings.fleetSize() * TRIAL_SPACING_MICROS;
         return jitter(Math.max(MIN_OPEN_MICROS, Math.min(intervalMicros(slowStartRate(group, now)), cap)));
     }
 
+    /** The delay, spread at random as {@link #JITTER_RATIO} says. */
     private long jitter(long delay) {
         return (long) (delay * (1 - JITTER_RATIO / 2 + JITTER_RATIO * random.nextDouble()));
     }
 
-    /** Fewer where calls are rare, as three would take too long; the price: one error costs a pause. */
+    /**
+     * Failures in a row that open the circuit. A relay that calls a destination rarely cannot wait for three
+     * of them; the price is that a single error costs it a pause.
+     */
     private int failuresToOpen(LimitGroup group) {
         double recentCalls = ratePerSecond(group.sentRate) * RATE_TIME_CONSTANT_MICROS / MICROS_PER_SECOND;
         return (int) Math.max(1, Math.min(FAILURES_TO_OPEN, recentCalls / CALLS_PER_FAILURE));
@@ -693,13 +926,14 @@
     private void onProbeEnded(ProbeEnded e) {
         Route route = routes.get(e.route());
         if (route != null) {
-            applyRetryAfter(route.group, e.retryAfterMicros()); // calls must wait as well
+            // Calls must wait as well if the probe was asked to.
+            applyRetryAfter(route.group, e.retryAfterMicros());
             Call call = new Call(route, now - e.elapsedMicros(), true);
             recordResult(call, e.result(), e.retryAfterMicros(), e.elapsedMicros(), e.report());
         }
     }
 
-    /** Calls per second that the group takes from all relays, as reported or listed; 0 where unknown. */
+    /** Calls per second that the group takes from all relays, as reported or listed; 0 if unknown. */
     private double fleetLimitPerSecond(LimitGroup group) {
         double listedRate = group.routes.stream().filter(r -> r.listedInService)
                 .mapToDouble(r -> r.listedRatePerSecond).max().orElse(0);
@@ -707,58 +941,76 @@
         return group.reportedRate > 0 ? group.reportedRate : settings.rateHint() == RateHint.NONE ? 0 : hint;
     }
 
-    /** Events per second over about the rate's time constant, or since counting began if that is less. */
+    /**
+     * Events per second over about the rate's time constant, or since counting began if that is shorter. A
+     * relay that has just started would otherwise take the events of its first seconds for those of ten.
+     */
     private double ratePerSecond(DecayingRate rate) {
-        double span = rate.timeConstantMicros; // a relay just started has counted for less than this
+        double span = rate.timeConstantMicros;
         double observed = 1 - Math.exp(-Math.max(MIN_OBSERVED_SHARE * span, now - rate.countedSince) / span);
         return rate.count * Math.exp((rate.updatedAt - now) / span) * MICROS_PER_SECOND / span / observed;
     }
 
+    /** Adds one event to the rate, after its earlier events have decayed up to now. */
     private void countEvent(DecayingRate rate) {
         rate.count = 1 + rate.count * Math.exp((rate.updatedAt - now) / (double) rate.timeConstantMicros);
         rate.updatedAt = now;
     }
 
-    /** Calls sent per second of late; where few, over ten seconds, as the one just refused tells little. */
+    /**
+     * Calls per second that this relay has sent: the higher of the rates over two and over ten seconds. The
+     * former leaves one call out, so a relay that calls rarely goes by ten seconds: the call just refused
+     * tells little.
+     */
     private double recentSendRate(LimitGroup group) {
         double othersShare = Math.max(0, 1 - 1 / Math.max(1, group.recentSentRate.count));
         return Math.max(ratePerSecond(group.sentRate), ratePerSecond(group.recentSentRate) * othersShare);
     }
 
+    /** True if a slow start that began at the given time still goes on. */
     private boolean isInSlowStart(long since) {
         return now - since < settings.rules().warmUpMicros();
     }
 
-    /** Share of its usual rate that a destination bears; it warms up evenly from its return. */
+    /**
+     * Share of its usual rate that a destination bears. It warms up evenly from its return, at the given
+     * time.
+     */
     private double slowStartFactor(long since) {
         double warmShare = (now - since) / (double) Math.max(1, settings.rules().warmUpMicros());
         double capacityShare = settings.rules().coldCapacityShare() * (1 - warmShare) + warmShare;
         return SLOW_START_MARGIN_RATIO * settings.rules().collapseLoadMultiple() * capacityShare;
     }
 
+    /** Calls per second that the group bears from this relay if it returned at the given time. */
     private double slowStartRate(LimitGroup group, long since) {
         double usualRate = Math.max(group.usualRate, fleetLimitPerSecond(group) / settings.fleetSize());
-        return Math.max(MIN_FLEET_SLOW_START_PER_SECOND / settings.fleetSize(), // this relay's share
+        return Math.max(MIN_FLEET_SLOW_START_PER_SECOND / settings.fleetSize(),
                 slowStartFactor(since) * usualRate);
     }
 
+    /** Calls per second that this relay may send to the group now; infinite if not bounded. */
     private double effectivePacingRate(LimitGroup group) {
         long since = group.slowStartedAt;
         return isInSlowStart(since) ? Math.min(group.pacingRate, slowStartRate(group, since))
                 : group.pacingRate;
     }
 
+    /** Time between two calls at a rate per second; 0 if the rate is not bounded. */
     private static long intervalMicros(double rate) {
-        return (long) (MICROS_PER_SECOND / rate); // 0 where the rate is not bounded
+        return (long) (MICROS_PER_SECOND / rate);
     }
 
+    /** When a call is so late, measured by its route, that an answer has become unlikely. */
     private long overdueAt(Call call) {
-        return call.sentAt + capTimeoutMicros( // an answer after that is unlikely
+        return call.sentAt + capTimeoutMicros(
                 Math.max(MIN_OVERDUE_MICROS, OVERDUE_RATIO * expectedResponseMicros(call.route)));
     }
 
-    /** When a call may lose its slot to a waiting request: with its answer lost, it would hold the slot as
-     * long as a dozen others. A second attempt gets more time, as the work may be long. */
+    /**
+     * When a call may lose its slot to a waiting request. If the answer of a call is lost, it holds its slot
+     * for as long as a dozen other calls would. A second attempt gets more time, as the work may take long.
+     */
     private long cancellableAt(Call call) {
         boolean lossy = areAnswersLost();
         if (!mayRetry(call)) {
@@ -770,13 +1022,17 @@
                 CANCEL_AGE_RATIO * expectedResponseMicros(call.route)));
     }
 
+    /** True if every request of the call is on its first attempt and its class allows another. */
     private static boolean mayRetry(Call call) {
-        return call.requests.stream() // each is on its first attempt and may have another
+        return call.requests.stream()
                 .allMatch(r -> r.requestClass.idempotency() != Idempotency.ONCE && r.attempts.size() == 1);
     }
 
-    /** An unanswered call is lost, not slow, if its route answered others since. One that may be cancelled
-     * early while answers get lost is not counted: its answer might have come. */
+    /**
+     * Learns whether late answers still come. A call without an answer is lost, not slow, if its route has
+     * answered others since. Calls that are cancelled early while answers get lost are not counted: their
+     * answers might have come.
+     */
     private void countLateOrLostAnswer(Call call, Result result, long elapsed) {
         if (elapsed < CANCEL_AGE_RATIO * expectedResponseMicros(call.route)
                 || areAnswersLost() && mayRetry(call)) {
@@ -790,20 +1046,27 @@
         }
     }
 
+    /** True if enough slow calls were lost recently, and more than were answered after all. */
     private boolean areAnswersLost() {
         double lostRate = ratePerSecond(lostAnswerRate);
         return lostRate * RATE_TIME_CONSTANT_MICROS > MIN_SIGNIFICANT_LOSSES * MICROS_PER_SECOND
                 && lostRate > ratePerSecond(lateAnswerRate);
     }
 
-    /** True if nothing was answered for this share of the time from the oldest call until it is overdue. */
+    /**
+     * True if the route has answered nothing since its oldest call in flight was sent, and this share of the
+     * time after which that call is overdue has passed.
+     */
     private boolean isSilent(Route route, double share) {
         Call oldest = route.callsInFlight.peek();
         return oldest != null && route.lastAnsweredAt <= oldest.sentAt
                 && now - oldest.sentAt >= share * (overdueAt(oldest) - oldest.sentAt);
     }
 
-    /** Saves the three time-outs that a silent route would cost before its circuit opens. */
+    /**
+     * Opens the circuit of a route that answers nothing while two calls, or one where calls are rare, are in
+     * flight. Otherwise it would take three time-outs to open it.
+     */
     private void openIfSilent(Route route) {
         boolean enoughCalls = route.callsInFlight.size() >= Math.min(2, failuresToOpen(route.group));
         if (enoughCalls && route.circuit.state == CircuitState.CLOSED && isSilent(route, 1)) {
@@ -811,17 +1074,24 @@
         }
     }
 
-    /** An idle route's old response time is ignored, so that the route is tried again. */
+    /**
+     * Expected response time of the route. An old one is ignored if no call is in flight there, so that a
+     * route that was slow is tried again.
+     */
     private double expectedResponseMicros(Route route) {
         boolean stale = route.callsInFlight.isEmpty() && now - route.lastAnsweredAt > STALE_RESPONSE_MICROS;
         return route.responseMicros == 0 || stale ? INITIAL_RESPONSE_MICROS : route.responseMicros;
     }
 
+    /** True if so many slots are in use that the rest is kept for other destinations. */
     private boolean areSlotsScarce() {
         return callsInFlight.size() > slotLimit() * SLOTS_SCARCE_FROM_SHARE;
     }
 
-    /** True if the group has its share of slots: one destination, above all a slow one, must not hold all. */
+    /**
+     * True if the group holds its share of the slots: one destination, above all a slow one, must not hold
+     * them all. A route is slow here from half of {@link #SLOW_RESPONSE_MICROS} on.
+     */
     private boolean exceedsSlotShare(LimitGroup group, Route route) {
         int slotCount = settings.limits().callSlots();
         boolean slow = route.responseMicros > SLOW_RESPONSE_MICROS / 2 || isSilent(route, 0.5);
@@ -830,15 +1100,25 @@
         return group.callsInFlight >= (int) Math.ceil(slotCount * share);
     }
 
-    /** False where a drain may have been missed, unless the route served a call sent since that time. */
+    /**
+     * True if the route is listed as in service and the list still holds. From {@link #listExpiresAt} on, the
+     * changes missed since {@link #listStaleSince} count as received, and a drain may be among them. A route
+     * that has served a call sent since then does not drain.
+     */
     private boolean isInService(Route route) {
         return route.listedInService && now < inServiceUntil(route);
     }
 
+    /** Until when the route counts as in service; {@code Long.MAX_VALUE} while no time is set. */
     private long inServiceUntil(Route route) {
         return route.lastServedCallSentAt >= listStaleSince ? Long.MAX_VALUE : listExpiresAt;
     }
 
+    /**
+     * True if a call that is no trial may go to the route now. A route with two calls in flight gets no more
+     * once it has been silent for a share of the time until they are overdue. Opens the circuit of a silent
+     * route.
+     */
     private boolean isUsable(Route route) {
         LimitGroup group = route.group;
         openIfSilent(route);
@@ -847,6 +1127,10 @@
                         && isSilent(route, 0.5)) && !exceedsSlotShare(group, route);
     }
 
+    /**
+     * Score of a route, at least 0; higher is better. {@code fastest} is the shortest expected response time
+     * of the routes compared, in microseconds.
+     */
     private double score(Route route, double fastest) {
         double score = 100 - route.errorRate * 50 - route.circuit.consecutiveFailures * 10;
         score -= route.errorRate > UNHEALTHY_ERROR_RATIO ? 50 : 0;
@@ -856,6 +1140,10 @@
         return Math.max(0, score + route.zoneBonus);
     }
 
+    /**
+     * Score bonus of a zone: the cheaper its attempts, the higher. Without prices, only this relay's own zone
+     * has one.
+     */
     private double zoneBonus(String zone) {
         double highestPrice = settings.zones().stream().mapToDouble(Zone::attemptPrice).max().orElse(0);
         if (highestPrice > 0) {
@@ -866,6 +1154,7 @@
         return zone.equals(settings.zone()) ? MAX_ZONE_BONUS : 0;
     }
 
+    /** True if the request's class allows an attempt at the route now. */
     private boolean isAllowedByRepeatRules(Request request, Route route) {
         Attempt first = firstPossiblyExecutedAttempt(request);
         if (first == null || request.requestClass.idempotency() == Idempotency.REPEATABLE) {
@@ -878,7 +1167,10 @@
         };
     }
 
-    /** Until when the next attempt may leave; already past once a request of class ONCE may have executed. */
+    /**
+     * Until when the next attempt may be sent; {@code Long.MAX_VALUE} if not limited. Once a request of class
+     * ONCE may have executed, that time has already passed.
+     */
     private static long repeatableUntil(Request request) {
         Attempt first = request.requestClass.idempotency() == Idempotency.REPEATABLE ? null
                 : firstPossiblyExecutedAttempt(request);
@@ -887,15 +1179,20 @@
         return first == null ? Long.MAX_VALUE : first.call.sentAt + window;
     }
 
+    /**
+     * Draws a route that the request may go to. A retry goes to another route than the last attempt if there
+     * is one.
+     */
     private Route pickRoute(Request request, List<Route> usable) {
         List<Route> allowed = new ArrayList<>(
                 usable.stream().filter(r -> isAllowedByRepeatRules(request, r)).toList());
         if (allowed.size() > 1) {
-            allowed.remove(request.lastRoute()); // a retry prefers another route
+            allowed.remove(request.lastRoute());
         }
         return drawRoute(allowed);
     }
 
+    /** Draws one of the routes at random, with a probability proportional to its score. */
     private Route drawRoute(List<Route> candidates) {
         double fastest = candidates.stream().mapToDouble(this::expectedResponseMicros).min().orElse(0);
         double[] scores = candidates.stream().mapToDouble(route -> score(route, fastest)).toArray();
@@ -903,11 +1200,11 @@
         double sum = 0;
         for (int i = 0; i < scores.length; i++) {
             scores[i] = scores[i] < highest - MAX_SCORE_GAP ? 0 : scores[i] + 1;
-            // Slow routes would hold scarce slots while fast ones serve several calls in the same time.
+            // Far routes would hold scarce slots while near ones serve several calls in the same time.
             scores[i] /= areSlotsScarce() ? expectedResponseMicros(candidates.get(i)) : 1;
             sum += scores[i];
         }
-        double point = random.nextDouble() * sum; // a route's chance is proportional to its score
+        double point = random.nextDouble() * sum;
         int i = 0;
         while (i < scores.length - 1 && point >= scores[i]) {
             point -= scores[i++];
@@ -915,8 +1212,13 @@
         return candidates.get(i);
     }
 
+    /** The next request of a destination, with the route drawn for it and the value lost if it waits. */
     private record Candidate(Request request, Route route, double lossFromWaiting) { }
 
+    /**
+     * Starts the trials and calls that are allowed now, beginning with the requests that lose most by
+     * waiting. For those that still wait, it frees slots and requests tokens.
+     */
     private void dispatch() {
         var candidates = new PriorityQueue<>(Comparator.comparingDouble(Candidate::lossFromWaiting)
                 .reversed().thenComparingLong(c -> c.request.id));
@@ -936,7 +1238,10 @@
         waitingDestinations.forEach(this::requestTokens);
     }
 
-    /** Frees as many slots as wanted; calls with lost answers would hold them all until their time-outs. */
+    /**
+     * Cancels as many overdue calls as slots are wanted. Calls whose answers are lost would otherwise hold
+     * every slot until their time-outs.
+     */
     private void cancelOverdueCalls(int wanted) {
         if (wanted == 0 || !settings.limits().mayCancel()) {
             return;
@@ -955,6 +1260,7 @@
         }
     }
 
+    /** Adds the destination's next request with its route, if one can be called now. */
     private void addCandidate(Destination destination, PriorityQueue<Candidate> candidates) {
         if (destination.waiting.isEmpty()) {
             return;
@@ -966,7 +1272,8 @@
         Request best = null;
         double highestLoss = -1;
         for (Request request : destination.waiting) {
-            // Requests found at restart go first, by deadline: each is to be tried, and they are the oldest.
+            // Requests found at a restart go first, by deadline: each is to be tried, and they are older
+            // than the others.
             double loss = request.resumedUntried ? Double.MAX_VALUE : lossFromWaiting(request, usable.get(0));
             boolean earlier = best != null && loss == highestLoss && request.deadline < best.deadline;
             if ((loss > highestLoss || earlier) && isNextForKey(request)
@@ -981,8 +1288,10 @@
         }
     }
 
-    /** Value lost if others go first for a while. Where requests expire, one that waits counts as lost:
-     * saving the oldest each time would deliver all of them late. */
+    /**
+     * Value that the request loses if others go first for a while. Where requests expire, one that waits
+     * counts as lost: always saving the oldest would deliver all of them late.
+     */
     private double lossFromWaiting(Request request, Route route) {
         long answeredAt = now + (long) expectedResponseMicros(route);
         Destination destination = request.destination;
@@ -993,19 +1302,29 @@
                 - (overloaded ? 0 : valueAt(request, answeredAt + WAITING_HORIZON_MICROS));
     }
 
+    /**
+     * False if less than half the expected response time is left. A request from before a restart is tried
+     * anyway.
+     */
     private boolean canBeAnsweredInTime(Request request, Route route) {
         return request.resumedUntried || request.deadline - now > expectedResponseMicros(route) / 2;
     }
 
-    /** Within the pacing rate and, while relays use tokens, with a token or after waiting for one in vain. */
+    /**
+     * True if the pacing rate allows a call and, while relays use tokens, this one has a token or has waited
+     * for one in vain.
+     */
     private boolean mayCallNow(LimitGroup group) {
         return now >= group.nextCallAt && (now >= group.coordinatedUntil || now < group.tokenValidUntil
                 || group.tokenRequested && !isAwaitingToken(group));
     }
 
-    /** Each of hundreds of relays sees too little to keep to a limit or to detect an outage. Where notes are
-     * allowed, they report to the group's coordinator, which all know by the group's number and which grants
-     * tokens one at a time. A lost note or a dead coordinator costs {@link #TOKEN_TIMEOUT_MICROS}. */
+    /**
+     * Reports to the group's coordinator, if relays may send each other notes. Each of hundreds of relays
+     * sees too little of a destination to keep to a limit or to detect an outage. The coordinator, which
+     * every relay knows from the group's number, sees it all and grants tokens one at a time. A lost note or
+     * a coordinator that is down costs {@link #TOKEN_TIMEOUT_MICROS}.
+     */
     private void reportToCoordinator(LimitGroup group, PeerNoteType type) {
         if (!settings.limits().mayNotifyPeers()) {
             return;
@@ -1017,6 +1336,10 @@
         sendPeerNote(Math.floorMod(group.number, settings.fleetSize()), type, group.number);
     }
 
+    /**
+     * Sends a note: the type's ordinal in one byte, then the group's number. A negative relay means all
+     * relays.
+     */
     private void sendPeerNote(int relay, PeerNoteType type, int groupNumber) {
         if (relay == settings.relayIndex()) {
             onPeerNote(relay, type, groupNumber);
@@ -1039,6 +1362,7 @@
         }
     }
 
+    /** Allows one call within the next second, even if a circuit is open: as its trial then. */
     private void onTokenGranted(LimitGroup group, boolean trial) {
         group.tokenRequested = false;
         group.reportsTrialResult = trial;
@@ -1048,6 +1372,11 @@
         group.routes.forEach(route -> route.circuit.openUntil = now);
     }
 
+    /**
+     * Handles a note to this relay as the group's coordinator. A served call ends an outage. Any other note
+     * queues its sender for a token; refusals also lower the limit, and all relays are told to use tokens if
+     * needed.
+     */
     private void coordinate(LimitGroup group, int fromRelay, PeerNoteType type) {
         TokenCoordinator coordinator = group.coordinator;
         if (type == PeerNoteType.CALL_SERVED) {
@@ -1067,11 +1396,13 @@
                 && (type != PeerNoteType.TOKEN_REQUEST || coordinator.waitingRelays.size() > 1)) {
             coordinator.announcedAt = now;
             group.coordinatedUntil = now + COORDINATION_MICROS;
-            sendPeerNote(-1, PeerNoteType.COORDINATION_START, group.number); // to all relays
+            sendPeerNote(-1, PeerNoteType.COORDINATION_START, group.number);
         }
     }
 
-    /** Grants the tokens that are due: for trials while the destination fails, then at the rate it bears. */
+    /**
+     * Grants the tokens that are due: for trials while the destination fails, then at the rate that it bears.
+     */
     private void grantTokens(LimitGroup group) {
         TokenCoordinator coordinator = group.coordinator;
         while (!coordinator.waitingRelays.isEmpty() && now >= coordinator.nextTokenAt) {
@@ -1084,6 +1415,7 @@
         }
     }
 
+    /** Tokens per second for all relays: the limit times a factor that refusals lower and time raises. */
     private double tokenRatePerSecond(LimitGroup group, TokenCoordinator coordinator) {
         double limit = fleetLimitPerSecond(group) == 0 ? MIN_FLEET_CALLS_PER_SECOND
                 : fleetLimitPerSecond(group);
@@ -1095,10 +1427,12 @@
                 : Math.min(coordinator.limitFactor, slowStartFactor(coordinator.recoveredAt)));
     }
 
+    /** True if a token was requested and may still come. */
     private boolean isAwaitingToken(LimitGroup group) {
         return group.tokenRequested && now < group.tokenRequestedAt + TOKEN_TIMEOUT_MICROS;
     }
 
+    /** Requests a token for each group of the destination that is coordinated and has none. */
     private void requestTokens(Destination destination) {
         for (Route route : destination.routes.values()) {
             LimitGroup group = route.group;
@@ -1109,6 +1443,7 @@
         }
     }
 
+    /** True if the circuit may get a trial now. Sets it to half-open once its time has come. */
     private boolean isReadyForTrial(CircuitBreaker circuit) {
         if (circuit.state == CircuitState.OPEN && now >= circuit.openUntil) {
             circuit.state = CircuitState.HALF_OPEN;
@@ -1116,6 +1451,7 @@
         return circuit.state == CircuitState.HALF_OPEN && !circuit.trialInFlight;
     }
 
+    /** Sends the trials that are due for the destination's routes. */
     private void sendDueTrials(Destination destination) {
         for (Route route : destination.routes.values()) {
             boolean groupTripped = route.group.circuit.state != CircuitState.CLOSED;
@@ -1130,10 +1466,15 @@
         }
     }
 
+    /**
+     * Tries a route with the request that loses least, or with a probe; does nothing if no request is
+     * suitable.
+     */
     private void sendTrial(Destination destination, Route route, CircuitBreaker circuit) {
+        // With less time left, a time-out would only show that the request's time was up.
         Request chosen = destination.waiting.stream()
                 .filter(r -> isNextForKey(r) && isAllowedByRepeatRules(r, route)
-                        && r.deadline - now >= trialTimeoutMicros(r, route)) // or its time-out tells nothing
+                        && r.deadline - now >= trialTimeoutMicros(r, route))
                 .min(Comparator.comparingInt(DeliveryPolicy::trialCost)).orElse(null);
         if (chosen == null) {
             return;
@@ -1148,12 +1489,16 @@
         }
     }
 
-    /** Lowest for the request that loses least by a failed attempt. */
+    /** Rank of a request for a trial: lowest for the one that loses least if the attempt fails. */
     private static int trialCost(Request request) {
         int cost = request.requestClass.idempotency().ordinal() * 100 + request.attempts.size();
         return cost + (firstPossiblyExecutedAttempt(request) == null ? 0 : 50);
     }
 
+    /**
+     * Starts a call with the request and, up to the batch size, others that wait for the same destination. A
+     * trial carries one request.
+     */
     private void startCall(Request request, Route route, boolean trial) {
         Call call = new Call(route, now, trial);
         callsInFlight.add(call);
@@ -1166,7 +1511,7 @@
                 + intervalMicros(effectivePacingRate(route.group));
         addToCall(request, call);
         DestinationKind kind = kinds.get(route.kind);
-        int maxAdded = trial || kind == null ? 0 : kind.maxBatchSize() - 1; // a trial carries one request
+        int maxAdded = trial || kind == null ? 0 : kind.maxBatchSize() - 1;
         if (maxAdded > 0) {
             for (Request other : List.copyOf(request.destination.waiting)) {
                 if (call.pendingAttempts <= maxAdded && isNextForKey(other)
@@ -1177,6 +1522,7 @@
         }
     }
 
+    /** Starts an attempt of the request as part of the call. */
     private void addToCall(Request request, Call call) {
         dequeue(request);
         Optional.ofNullable(resumedRequests.recordTriedOrEnded(request, true)).ifPresent(actions::log);
@@ -1188,27 +1534,36 @@
         actions.startAttempt(request.id, call.route.name, attemptTimeoutMicros(request, call), startUntil);
     }
 
+    /** Time-out of the next attempt; 0 for the last one, which may run until the deadline. */
     private long attemptTimeoutMicros(Request request, Call call) {
         boolean lastAttempt = request.requestClass.idempotency() == Idempotency.ONCE
                 || request.attempts.size() >= request.maxAttempts;
         if (lastAttempt) {
-            return 0; // until the deadline
+            return 0;
         }
         double timeout = Math.max(MIN_TIMEOUT_MICROS, OVERDUE_RATIO * expectedResponseMicros(call.route));
         return call.trial || isCircuitTripped(call.route) ? trialTimeoutMicros(call.route)
                 : (long) Math.min(timeout, MAX_TIMEOUT_SHARE * request.requestClass.timeLimitMicros());
     }
 
-    /** Beyond the time that requests have, silence could open no circuit and no trial could close one. */
+    /**
+     * Limits a time-out to what requests have time for. Beyond that, no circuit could open because of missing
+     * answers, and none could close by a trial.
+     */
     private long capTimeoutMicros(double timeout) {
         return (long) Math.min(timeout, MAX_TIMEOUT_SHARE * longestTimeLimitMicros);
     }
 
-    /** Shorter for brief requests: if a destination gets no others, they must open and test its circuit. */
+    /**
+     * Time-out of a trial with this request, at most half the time limit of its class. A destination may get
+     * only requests with short limits while other classes have long ones; without this bound, its circuit
+     * would never open or get a trial.
+     */
     private long trialTimeoutMicros(Request request, Route route) {
         return Math.min(trialTimeoutMicros(route), request.requestClass.timeLimitMicros() / 2);
     }
 
+    /** Time-out of a trial at the route, whatever the request. */
     private long trialTimeoutMicros(Route route) {
         return capTimeoutMicros(
                 Math.max(MIN_TRIAL_TIMEOUT_MICROS, TRIAL_TIMEOUT_RATIO * expectedResponseMicros(route)));
@@ -1235,7 +1590,10 @@
         List.copyOf(routes.values()).forEach(this::forgetIfUnlisted);
     }
 
-    /** A list that changes all day must not fill the memory; requests keep what they need of a route. */
+    /**
+     * Forgets a route once it is in no list, no call to it is in flight and it no longer asks to wait. A list
+     * that changes all day would otherwise fill the memory. Requests keep what they need of the route.
+     */
     private void forgetIfUnlisted(Route route) {
         LimitGroup group = route.group;
         if (route.inRouteList || !route.callsInFlight.isEmpty() || now < group.retryAfterUntil) {
@@ -1249,6 +1607,7 @@
         }
     }
 
+    /** Adds a route with its destination and the group whose limit it shares. */
     private Route newRoute(ListedRoute entry) {
         Destination destination = getOrCreateDestination(entry.destination());
         DestinationKind kind = kinds.get(entry.kind());
@@ -1262,6 +1621,7 @@
         return route;
     }
 
+    /** Subscribes to the route list once, if the settings ask for it. */
     private void subscribeIfRequired() {
         if (settings.mustSubscribe() && !subscriptionRequested) {
             subscriptionRequested = true;
@@ -1279,6 +1639,7 @@
         }
     }
 
+    /** Sets the wake-up timer to the next time at which something is due, unless it fires earlier anyway. */
     private void scheduleWakeUp() {
         long nextDue = requestsByExpiry.isEmpty() ? Long.MAX_VALUE : requestsByExpiry.first().expiresAt;
         for (Request request : resumedRequests.untriedRequests) {
@@ -1305,7 +1666,10 @@
         }
     }
 
-    /** When the route may next be called or tried, if it waits only for time; else {@code Long.MAX_VALUE}. */
+    /**
+     * When the route may next be called or tried if nothing but time stands in the way; else {@code
+     * Long.MAX_VALUE}.
+     */
     private long usableOrTrialAt(Route route) {
         LimitGroup group = route.group;
         long tokenWaitUntil = Math.min(group.coordinatedUntil,
