--- a/src/main/java/drumdeal/DeliveryPolicy.java
+++ b/src/main/java/drumdeal/DeliveryPolicy.java
@@ -64,7 +64,9 @@
     private static final double MAX_REGAIN_RATIO_PER_SERVED_CALL = 0.25;
     /** A cut keeps at least this share of the rate, even where next to nothing is served. */
     private static final double MIN_PACING_CUT_RATIO = 0.5;
-    /** Lowest rate after refusals, of all relays together. */
+    /**
+     * Lowest rate after refusals, of all relays together; also the rate of tokens where no limit is known.
+     */
     private static final double MIN_FLEET_CALLS_PER_SECOND = 3;
     /**
      * Longest time for which one served call allows growth: a call served after a long idle time proves
@@ -166,8 +168,7 @@
     // Timers and general
 
     /** Time constant of event rates: a relay may call a destination only once in so long. */
-    private static final long RATE_TIME_CONSTANT_MICROS =
-            DecayingRate.DEFAULT_TIME_CONSTANT_MICROS;
+    private static final long RATE_TIME_CONSTANT_MICROS = DecayingRate.DEFAULT_TIME_CONSTANT_MICROS;
     /**
      * Shortest time that a rate is taken over, as a share of its time constant. A first burst of events would
      * otherwise pass for the usual rate.
@@ -726,7 +727,7 @@
         }
     }
 
-    /** Slow growth since a time, limited to the span that served calls can justify. */
+    /** Factor of slow growth since the given time, of which no more counts than one served call allows. */
     private double growthFactor(long since) {
         return Math.pow(1 + PACING_GROWTH_RATIO_PER_SECOND,
                 Math.min(MAX_GROWTH_SPAN_MICROS, now - since) / (double) MICROS_PER_SECOND);
@@ -878,7 +879,10 @@
         group.refusedSinceCut = 0;
     }
 
-    /** Opens the circuit, or keeps it open, until the next trial is due. */
+    /**
+     * Opens the circuit, or keeps it open, until the next trial is due, at the earliest after {@code
+     * retryAfter}. {@code bySilence} is true if the route answers nothing.
+     */
     private void openCircuit(CircuitBreaker circuit, LimitGroup group, boolean bySilence, long retryAfter) {
         if (circuit.state == CircuitState.CLOSED) {
             circuit.openedAt = now;
@@ -1116,8 +1120,8 @@
 
     /**
      * True if a call that is no trial may go to the route now. A route with two calls in flight gets no more
-     * once it has been silent for a share of the time until they are overdue. Opens the circuit of a silent
-     * route.
+     * once it has answered nothing for half the time until the older one is overdue. Opens the circuit of a
+     * silent route.
      */
     private boolean isUsable(Route route) {
         LimitGroup group = route.group;
@@ -1667,8 +1671,8 @@
     }
 
     /**
-     * When the route may next be called or tried if nothing but time stands in the way; else {@code
-     * Long.MAX_VALUE}.
+     * When the route may next be called or tried if nothing but time stands in the way; else
+     * {@code Long.MAX_VALUE}.
      */
     private long usableOrTrialAt(Route route) {
         LimitGroup group = route.group;
