--- a/src/main/java/drumdeal/DeliveryPolicy.java
+++ b/src/main/java/drumdeal/DeliveryPolicy.java
@@ -34,14 +34,26 @@
 
     // Score and route selection
 
+    /** Score of a route without errors, bonus or penalty. */
+    private static final int BASE_SCORE = 100;
+    /** Penalty of a route whose error rate is 1; a lower error rate counts in proportion. */
+    private static final int ERROR_RATE_PENALTY = 50;
+    /** Penalty for each failure in a row. */
+    private static final int CONSECUTIVE_FAILURE_PENALTY = 10;
+    /** Further penalty if the error rate is above {@link #UNHEALTHY_ERROR_RATIO}. */
+    private static final int UNHEALTHY_PENALTY = 50;
     /** A route whose score is further below the best one than this gets no calls. */
     private static final double MAX_SCORE_GAP = 20;
-    /** A route with a shorter expected response time gets a bonus. */
+    /** A route with a shorter expected response time gets {@link #FAST_RESPONSE_BONUS}. */
     private static final long FAST_RESPONSE_MICROS = 1_000_000;
-    /** A route with a longer expected response time gets a penalty. */
+    /** Bonus of a fast route. */
+    private static final int FAST_RESPONSE_BONUS = 20;
+    /** A route with a longer expected response time gets {@link #SLOW_RESPONSE_PENALTY}. */
     private static final long SLOW_RESPONSE_MICROS = 5_000_000;
     /** So does a route that is slower than the fastest of the routes compared by more than this factor. */
     private static final double SLOW_RESPONSE_RATIO = 3;
+    /** Penalty of a slow route. */
+    private static final int SLOW_RESPONSE_PENALTY = 30;
     /** Highest bonus for a near or cheap zone: it shifts the choice, but cannot decide it alone. */
     private static final double MAX_ZONE_BONUS = 8;
 
@@ -1136,11 +1148,12 @@
      * of the routes compared, in microseconds.
      */
     private double score(Route route, double fastest) {
-        double score = 100 - route.errorRate * 50 - route.circuit.consecutiveFailures * 10;
-        score -= route.errorRate > UNHEALTHY_ERROR_RATIO ? 50 : 0;
-        score += expectedResponseMicros(route) < FAST_RESPONSE_MICROS ? 20 : 0;
+        double score = BASE_SCORE - route.errorRate * ERROR_RATE_PENALTY
+                - route.circuit.consecutiveFailures * CONSECUTIVE_FAILURE_PENALTY;
+        score -= route.errorRate > UNHEALTHY_ERROR_RATIO ? UNHEALTHY_PENALTY : 0;
+        score += expectedResponseMicros(route) < FAST_RESPONSE_MICROS ? FAST_RESPONSE_BONUS : 0;
         score -= expectedResponseMicros(route) > Math.min(SLOW_RESPONSE_MICROS,
-                SLOW_RESPONSE_RATIO * Math.max(INITIAL_RESPONSE_MICROS, fastest)) ? 30 : 0;
+                SLOW_RESPONSE_RATIO * Math.max(INITIAL_RESPONSE_MICROS, fastest)) ? SLOW_RESPONSE_PENALTY : 0;
         return Math.max(0, score + route.zoneBonus);
     }
 
