--- a/src/main/java/drumdeal/DeliveryPolicy.java
+++ b/src/main/java/drumdeal/DeliveryPolicy.java
@@ -17,6 +17,10 @@
     private static final int FAILURES_TO_OPEN = 3;
     /** Calls within ten seconds for each failure that it takes to open a circuit. */
     private static final double CALLS_PER_FAILURE = 2;
+    /** Cost of a request in the choice for a trial, for each step from REPEATABLE through BY_KEY to ONCE. */
+    private static final int IDEMPOTENCY_TRIAL_COST = 100;
+    /** Further cost of a request that may already have executed. */
+    private static final int POSSIBLY_EXECUTED_TRIAL_COST = 50;
     /** Shortest time that a circuit stays open before a trial. Outages last for seconds. */
     private static final long MIN_OPEN_MICROS = 2_000_000;
     /** Time between the trials of one group if all relays try it. */
@@ -1506,10 +1510,14 @@
         }
     }
 
-    /** Rank of a request for a trial: lowest for the one that loses least if the attempt fails. */
+    /**
+     * Rank of a request for a trial: lowest for the one that loses least if the attempt fails. Among equals,
+     * each past attempt counts 1.
+     */
     private static int trialCost(Request request) {
-        int cost = request.requestClass.idempotency().ordinal() * 100 + request.attempts.size();
-        return cost + (firstPossiblyExecutedAttempt(request) == null ? 0 : 50);
+        int cost = request.requestClass.idempotency().ordinal() * IDEMPOTENCY_TRIAL_COST
+                + request.attempts.size();
+        return cost + (firstPossiblyExecutedAttempt(request) == null ? 0 : POSSIBLY_EXECUTED_TRIAL_COST);
     }
 
     /**
