--- a/src/main/java/drumdeal/DeliveryPolicy.java
+++ b/src/main/java/drumdeal/DeliveryPolicy.java
@@ -122,6 +122,11 @@
     private static final long MIN_OVERDUE_MICROS = 2_500_000;
     /** Multiple of the expected response time after which a call is overdue: work varies that much. */
     private static final double OVERDUE_RATIO = 8;
+    /**
+     * Share of the time until its oldest call is overdue after which a route that answers nothing counts as
+     * slow, and gets no further calls if two are in flight.
+     */
+    private static final double SUSPECTED_SILENCE_SHARE = 0.5;
     /** Shortest age at which a call is cancelled if another request wants its slot and a retry may follow. */
     private static final long MIN_CANCEL_AGE_MICROS = 1_000_000;
     /** The same while answers get lost. */
@@ -1114,7 +1119,8 @@
      */
     private boolean exceedsSlotShare(LimitGroup group, Route route) {
         int slotCount = settings.limits().callSlots();
-        boolean slow = route.responseMicros > SLOW_RESPONSE_MICROS / 2 || isSilent(route, 0.5);
+        boolean slow = route.responseMicros > SLOW_RESPONSE_MICROS / 2
+                || isSilent(route, SUSPECTED_SILENCE_SHARE);
         boolean restricted = slow || areSlotsScarce();
         double share = restricted ? MAX_SCARCE_SLOT_SHARE : MAX_SLOT_SHARE;
         return group.callsInFlight >= (int) Math.ceil(slotCount * share);
@@ -1136,15 +1142,14 @@
 
     /**
      * True if a call that is no trial may go to the route now. A route with two calls in flight gets no more
-     * once it has answered nothing for half the time until the older one is overdue. Opens the circuit of a
-     * silent route.
+     * once it has been silent for {@link #SUSPECTED_SILENCE_SHARE}. Opens the circuit of a silent route.
      */
     private boolean isUsable(Route route) {
         LimitGroup group = route.group;
         openIfSilent(route);
         return isInService(route) && now >= group.retryAfterUntil && now >= route.connectionBackoffUntil
                 && mayCallNow(group) && !isCircuitTripped(route) && !(route.callsInFlight.size() >= 2
-                        && isSilent(route, 0.5)) && !exceedsSlotShare(group, route);
+                        && isSilent(route, SUSPECTED_SILENCE_SHARE)) && !exceedsSlotShare(group, route);
     }
 
     /**
