--- a/src/main/java/drumdeal/DeliveryPolicy.java
+++ b/src/main/java/drumdeal/DeliveryPolicy.java
@@ -185,6 +185,11 @@
     private static final double COORDINATOR_CUT_RATIO = 0.8;
     /** Highest multiple of the known limit that is granted: a rough rate may be this much too low. */
     private static final double MAX_LIMIT_RATIO = 2;
+    /**
+     * Tokens that fell due within this time before now are granted at once, earlier ones not at all. This
+     * limits the burst after a time in which none were requested.
+     */
+    private static final long MAX_TOKEN_BURST_MICROS = 500_000;
 
     // Timers and general
 
@@ -1435,7 +1440,7 @@
             int relay = coordinator.waitingRelays.iterator().next();
             coordinator.waitingRelays.remove(relay);
             boolean down = coordinator.failures >= FAILURES_TO_OPEN;
-            coordinator.nextTokenAt = Math.max(coordinator.nextTokenAt, now - MICROS_PER_SECOND / 2)
+            coordinator.nextTokenAt = Math.max(coordinator.nextTokenAt, now - MAX_TOKEN_BURST_MICROS)
                     + (down ? TRIAL_SPACING_MICROS : intervalMicros(tokenRatePerSecond(group, coordinator)));
             sendPeerNote(relay, down ? PeerNoteType.TRIAL_GRANT : PeerNoteType.TOKEN_GRANT, group.number);
         }
