--- a/src/main/java/drumdeal/DeliveryPolicy.java
+++ b/src/main/java/drumdeal/DeliveryPolicy.java
@@ -802,7 +802,7 @@
                 route.group.slowStartedAt = now;
                 route.group.nextCallAt = now + intervalMicros(slowStartRate(route.group, now));
             }
-            actions.log("serves again: " + route.name);
+            actions.log("circuit closed: " + route.name);
         }
     }
 
@@ -918,10 +918,11 @@
                 if (!isInSlowStart(group.slowStartedAt)) {
                     group.usualRate = ratePerSecond(group.sentRate);
                 }
-                String reason = bySilence ? ", silent" : "";
-                actions.log("out: " + group.routes.get(0).name + reason + " (failures in a row "
+                String reason = bySilence ? ", no answers" : "";
+                actions.log("circuit opened: " + group.routes.get(0).name + reason + " (failures in a row "
                         + circuit.consecutiveFailures + ", refusals " + group.consecutiveRefusals
-                        + ", calls " + group.callsInFlight + ", pace " + (float) group.pacingRate
+                        + ", calls in flight " + group.callsInFlight
+                        + ", pacing rate " + (float) group.pacingRate
                         + ", usual rate " + (float) group.usualRate + ")");
             }
         }
