--- a/src/test/java/drumdeal/DeliveryPolicyTest.java
+++ b/src/test/java/drumdeal/DeliveryPolicyTest.java
@@ -17,7 +17,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests decisions of {@link DeliveryPolicy}, mostly those of a single relay, in simulated time. */
 class DeliveryPolicyTest {
+    /**
+     * Routes a and b, in two zones, share the limit of destination 1. Route c of destination 2 has its own limit.
+     * Route d of destination 3 gets up to four requests in one call. The relay runs in zone east.
+     */
     private final SimulatedRelay relay = new SimulatedRelay(SimulatedRelay.settings())
             .receiveFullList(route("a", 1, "plain", "east"), route("b", 1, "plain", "west"),
                     route("c", 2, "apart", "east"), route("d", 3, "bulk", "east"));
@@ -54,14 +59,20 @@
         assertEquals(List.of(2L), relay.refused);
     }
 
+    /**
+     * A relay cut off from discovery does not learn that a route drains. Once its list has expired it avoids a route,
+     * unless the route has served a call sent after the list became stale: such a route does not drain.
+     */
     @Test
     void routeThatMayDrainUnheardIsLeftUntilTheListComesUnlessItServes() {
-        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.settings()).receiveFullList(route("c", 2, "apart", "east"), route("a", 1, "plain", "east"));
+        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.settings())
+                .receiveFullList(route("c", 2, "apart", "east"), route("a", 1, "plain", "east"));
         one.accept(1, "safe", 1).accept(2, "safe", 2).advance(MILLISECOND);
         one.runRound(new Policy.RouteListStale(one.now, one.now + 4 * SECOND));
         long due = one.now + 4 * SECOND;
         one.answer(1, Result.OK).answer(2, Result.OK).advance(SECOND);
-        one.accept(3, "safe", 2).answer(3, Result.OK).accept(4, "safe", 2).answer(4, Result.OK).advance(4 * SECOND);
+        one.accept(3, "safe", 2).answer(3, Result.OK)
+                .accept(4, "safe", 2).answer(4, Result.OK).advance(4 * SECOND);
         assertEquals(List.of(Long.MAX_VALUE, Long.MAX_VALUE, due, Long.MAX_VALUE), one.latestSendTimes);
         one.accept(5, "safe", 1).accept(6, "safe", 2);
         assertEquals(0, one.countSends(5), "what this route served had been sent before there was news");
@@ -93,12 +104,14 @@
     @Test
     void timeoutThatComesFromTheDeadlineIsNotTheRoutesFailure() {
         for (int id = 1; id <= 5; id++) {
-            relay.runRound(acceptedEvent(id, 300 * MILLISECOND)).advance(300 * MILLISECOND).answer(id, Result.TIMEOUT);
+            relay.runRound(acceptedEvent(id, 300 * MILLISECOND)).advance(300 * MILLISECOND)
+                    .answer(id, Result.TIMEOUT);
         }
         assertEquals(5, relay.sent.size());
         assertTrue(relay.logLines.isEmpty());
     }
 
+    /** A route that is down refuses new connections. Connections that merely break must not open its circuit. */
     @Test
     void connectionsThatBreakNowAndThenOpenNothing() {
         makeFrequentCalls();
@@ -108,6 +121,7 @@
         assertTrue(relay.logLines.isEmpty());
     }
 
+    /** A trial that times out because of its request's deadline would say nothing about the route. */
     @Test
     void testGoesByAMessageWithTimeLeft() {
         openCircuitOfRouteC();
@@ -118,16 +132,19 @@
 
     @Test
     void overdueCallGivesWayWhereSlotsAreWanted() {
-        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(1, 100)).receiveFullList(route("c", 2, "apart", "east"), route("a", 1, "plain", "east"));
+        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(1, 100))
+                .receiveFullList(route("c", 2, "apart", "east"), route("a", 1, "plain", "east"));
         narrow.accept(1, "once", 2).advance(10 * SECOND);
         assertTrue(narrow.cancelled.isEmpty(), "nobody wants its slot");
         narrow.accept(2, "safe", 1);
         assertEquals(List.of(1L), narrow.cancelled);
     }
 
+    /** Under overload, sending the oldest request first each time would deliver all of them late. */
     @Test
     void newestGoesFirstWhereMessagesRunOutOfTime() {
-        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(1, 100)).receiveFullList(route("a", 1, "plain", "east"));
+        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(1, 100))
+                .receiveFullList(route("a", 1, "plain", "east"));
         for (int id = 1; id <= 30; id++) {
             narrow.accept(id, "once", 1);
         }
@@ -141,6 +158,9 @@
         assertEquals(0, narrow.countSends(40));
     }
 
+    /**
+     * Memory must not grow with each route that was ever listed, for example when deployments replace all endpoints.
+     */
     @Test
     void routesOfManyGenerationsAreForgotten() throws ReflectiveOperationException {
         for (int i = 0; i < 1000; i++) {
@@ -162,6 +182,10 @@
         }
     }
 
+    /**
+     * The route of a call in flight may leave the list. The call's result must still reach the request, or the request
+     * would not be retried.
+     */
     @Test
     void routeThatIsGoneStillAnswers() {
         relay.accept(1, "safe", 2).advance(MILLISECOND).receiveFullList();
@@ -169,13 +193,15 @@
         assertEquals(2, relay.countSends(1));
     }
 
+    /** The event for a request of class "safe" to destination 2, whose deadline is {@code timeLeft} from now. */
     private Policy.RequestAccepted acceptedEvent(long id, long left) {
         return new Policy.RequestAccepted(id, "safe", null, null, relay.now + left, 2);
     }
 
     @Test
     void oneFailureOpensWhereCallsAreRare() {
-        relay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.CONNECT_FAILED).accept(2, "safe", 2).advance(SECOND);
+        relay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.CONNECT_FAILED)
+                .accept(2, "safe", 2).advance(SECOND);
         assertEquals(List.of("out: c"), relay.logLines);
         assertEquals(1, relay.sent.size());
     }
@@ -188,40 +214,58 @@
         assertEquals(2, relay.countSends(1));
     }
 
+    /**
+     * Each relay of a large fleet sends only a few trials, but all of them together could make a recovering
+     * destination collapse.
+     */
     @Test
     void testsOfAFleetStayFarUnderWhatItsCallsWouldBe() {
         int tests = 0;
         for (int seed = 0; seed < 100; seed++) {
-            SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, seed)).receiveFullList(route("c", 2, "apart", "east"));
-            one.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.CONNECT_FAILED).advance(10 * SECOND);
+            SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, seed))
+                    .receiveFullList(route("c", 2, "apart", "east"));
+            one.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.CONNECT_FAILED)
+                    .advance(10 * SECOND);
             tests += one.sent.size() - 1;
         }
         assertTrue(tests < 50, "tests of 100 relays in ten seconds: " + tests);
     }
 
+    /** Relays that are refused at the same time and retry at the same time would exceed the limit again. */
     @Test
     void refusedMessagesOfAFleetComeBackSpread() {
         int soon = 0;
         for (int seed = 0; seed < 100; seed++) {
-            SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, seed)).receiveFullList(route("c", 2, "apart", "east"));
+            SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, seed))
+                    .receiveFullList(route("c", 2, "apart", "east"));
             one.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.FULL).advance(7 * SECOND);
             soon += one.sent.size() - 1;
         }
         assertTrue(soon > 20 && soon < 80, "back within seven seconds: " + soon);
     }
 
+    /**
+     * Each relay of a large fleet calls rarely. If a refusal did not slow it down, the fleet would stay above the
+     * limit.
+     */
     @Test
     void relayOfALargeFleetThatCallsSeldomGoesSlowerAfterItsFirstRefusal() {
-        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, 7)).receiveFullList(route("c", 2, "apart", "east")).advance(40 * SECOND);
+        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, 7))
+                .receiveFullList(route("c", 2, "apart", "east")).advance(40 * SECOND);
         one.accept(1, "safe", 2).advance(SECOND / 2).answer(1, Result.FULL).advance(8 * SECOND);
         assertEquals(1, one.sent.size(), "one call in ten seconds was too many");
         one.advance(20 * SECOND);
         assertEquals(2, one.sent.size());
     }
 
+    /**
+     * If relays that call rarely doubled their pacing rate with each served call, the fleet would exceed the limit
+     * again and again.
+     */
     @Test
     void oneServeAfterALongRestAloneRaisesThePaceOnlyALittle() {
-        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, 7)).receiveFullList(route("c", 2, "apart", "east"));
+        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, 7))
+                .receiveFullList(route("c", 2, "apart", "east"));
         for (int id = 1; id <= 10; id++) {
             one.accept(id, "safe", 2).advance(SECOND).answer(id, Result.OK);
         }
@@ -238,24 +282,27 @@
         for (int i = 2; i < one.sent.size(); i++) {
             double gap = one.sent.get(i).sentAt() - one.sent.get(i - 1).sentAt();
             double before = one.sent.get(i - 1).sentAt() - one.sent.get(i - 2).sentAt();
-            assertTrue(before / gap < 1.4, "from one call in " + before + " us to one in " + gap);
+            assertTrue(before / gap < 1.4,
+                    "from one call in " + before + " us to one in " + gap);
         }
     }
 
     @Test
     void paceIsCutByRefusalsAndRegrowsWhileServed() {
         for (int i = 0; i < 4; i++) {
-            relay.accept(i, "safe", 2).advance(MILLISECOND).answer(i, Result.FULL).advance(8 * SECOND).answer(i, Result.OK);
+            relay.accept(i, "safe", 2).advance(MILLISECOND).answer(i, Result.FULL)
+                    .advance(8 * SECOND).answer(i, Result.OK);
         }
         long cut = measureSendSpacing(5);
         for (int id = 10; id < 40; id++) {
             relay.accept(id, "safe", 2).advance(3 * SECOND).answer(id, Result.OK);
         }
         long regrown = measureSendSpacing(50);
-        assertTrue(cut > 100 * MILLISECOND && regrown < cut / 2, "cut " + cut + ", regrown " + regrown);
+        assertTrue(cut > 100 * MILLISECOND && regrown < cut / 2,
+                "cut " + cut + ", regrown " + regrown);
     }
 
-    /** How far two messages accepted at once leave from one another. */
+    /** Sends two requests, {@code id} and the next one, and returns the microseconds between their sends. */
     private long measureSendSpacing(int id) {
         relay.sent.clear();
         relay.accept(id, "safe", 2).accept(id + 1, "safe", 2).advance(10 * SECOND);
@@ -263,6 +310,10 @@
         return relay.sent.get(1).sentAt() - relay.sent.get(0).sentAt();
     }
 
+    /**
+     * A relay that has run for two seconds must not divide its calls by the ten seconds over which rates are averaged:
+     * the pacing rate after the cut would be far too low.
+     */
     @Test
     void youngRelayCutsItsPaceByWhatItWasServedNotByTenSeconds() {
         for (int id = 1; id <= 30; id++) {
@@ -277,7 +328,8 @@
             }
         }
         int sent = relay.sent.size() - before;
-        assertTrue(sent > 6, "twenty a second were served, sent after the cut: " + sent + " in 1.5 s");
+        assertTrue(sent > 6,
+                "twenty a second were served, sent after the cut: " + sent + " in 1.5 s");
     }
 
     @Test
@@ -295,9 +347,13 @@
         assertEquals(1, relay.countSends(10));
     }
 
+    /**
+     * A destination recovers from an outage with little capacity. The calls of all requests that waited would make it
+     * collapse again.
+     */
     @Test
     void releaseStaysWithinTheBudgetOfTheRule() {
-        relay.advance(10 * SECOND); // calls are known for as long as their rate looks back
+        relay.advance(10 * SECOND); // the whole span over which the rate of calls is averaged
         openCircuitOfRouteC();
         for (int id = 10; id < 60; id++) {
             relay.accept(id, "safe", 2);
@@ -308,7 +364,8 @@
             relay.advance(100 * MILLISECOND);
             List.copyOf(relay.unanswered).forEach(s -> relay.answer(s.id(), Result.OK));
         }
-        assertTrue(relay.sent.size() - before <= 2, "sent on release: " + (relay.sent.size() - before));
+        assertTrue(relay.sent.size() - before <= 2,
+                "sent on release: " + (relay.sent.size() - before));
     }
 
     @Test
@@ -338,6 +395,10 @@
         assertEquals(List.of("out: c, silent"), relay.logLines);
     }
 
+    /**
+     * A destination may refuse everything during an outage. Unlike one above its limit it recovers with little
+     * capacity, so the circuit has to open.
+     */
     @Test
     void refusalsWithoutAServeOpenAsShut() {
         relay.accept(1, "safe", 2);
@@ -359,10 +420,12 @@
 
     @Test
     void toldWaitHoldsTheWholeSharedGroup() {
-        relay.accept(1, "safe", 1).advance(MILLISECOND).answer(1, Result.FULL, 2 * SECOND).accept(2, "safe", 1).advance(1999 * MILLISECOND);
+        relay.accept(1, "safe", 1).advance(MILLISECOND).answer(1, Result.FULL, 2 * SECOND)
+                .accept(2, "safe", 1).advance(1999 * MILLISECOND);
         assertEquals(1, relay.sent.size());
     }
 
+    /** A call may carry several requests, and only a later one of them may be answered with a retry-after time. */
     @Test
     void waitToldToALaterRequestOfOneCallIsHeeded() {
         relay.accept(1, "safe", 3).advance(MILLISECOND).answer(1, Result.FULL);
@@ -417,15 +480,18 @@
     void keysGoOneByOneAndRestAfterATimeout() {
         relay.accept(1, "ordered", 1, "k").accept(2, "ordered", 1, "k").advance(SECOND);
         assertEquals(0, relay.countSends(2));
-        relay.answer(1, Result.TIMEOUT).advance(10 * MILLISECOND).answer(1, Result.OK).advance(2900 * MILLISECOND);
+        relay.answer(1, Result.TIMEOUT).advance(10 * MILLISECOND)
+                .answer(1, Result.OK).advance(2900 * MILLISECOND);
         assertEquals(0, relay.countSends(2), "the key rests");
         relay.advance(200 * MILLISECOND);
         assertEquals(1, relay.countSends(2));
     }
 
+    /** If the buffer stayed full, the relay would have to reject new requests unseen, however valuable they are. */
     @Test
     void fullBufferRefusesTheLeastWorthThatMayBeRefused() {
-        SimulatedRelay small = new SimulatedRelay(SimulatedRelay.settings(4, 3)).receiveFullList(route("c", 2, "apart", "east"));
+        SimulatedRelay small = new SimulatedRelay(SimulatedRelay.settings(4, 3))
+                .receiveFullList(route("c", 2, "apart", "east"));
         small.accept(1, "safe", 7).accept(2, "safe", 7).accept(3, "safe", 7);
         assertEquals(1, small.refused.size());
     }
@@ -456,24 +522,32 @@
             relay.accept(id, "safe", 1).advance(10 * MILLISECOND).answer(id, Result.OK);
         }
         long near = relay.sent.stream().filter(s -> s.route().equals("a")).count();
-        assertTrue(near > 200 && near < 260, "near: " + near);
+        assertTrue(near > 200 && near < 260,
+                "near: " + near);
     }
 
+    /** Slow routes would occupy slots in which fast ones could serve several calls. */
     @Test
     void quickRoutesAreDrawnMoreOftenWhileSlotsAreScarce() {
-        SimulatedRelay busy = new SimulatedRelay(SimulatedRelay.settings(10, 1000)).receiveFullList(route("a", 1, "plain", "east"),
-                route("b", 1, "plain", "west"), route("e", 4, "plain", "east"), route("f", 5, "plain", "east"),
-                route("g", 6, "plain", "east"), route("h", 7, "plain", "east"));
+        SimulatedRelay busy = new SimulatedRelay(SimulatedRelay.settings(10, 1000))
+                .receiveFullList(route("a", 1, "plain", "east"), route("b", 1, "plain", "west"),
+                        route("e", 4, "plain", "east"), route("f", 5, "plain", "east"),
+                        route("g", 6, "plain", "east"), route("h", 7, "plain", "east"));
         long[] even = countCallsPerRoute(busy, 0);
         for (int destination = 4; destination <= 7; destination++) {
             busy.accept(2 * destination, "once", destination).accept(2 * destination + 1, "once", destination);
         }
         long[] scarce = countCallsPerRoute(busy, 1000);
-        assertTrue(even[1] * 3 > even[0], "drawn by score: " + even[0] + " to " + even[1]);
-        assertTrue(scarce[1] * 3 < scarce[0], "by score over time: " + scarce[0] + " to " + scarce[1]);
+        assertTrue(even[1] * 3 > even[0],
+                "drawn by score: " + even[0] + " to " + even[1]);
+        assertTrue(scarce[1] * 3 < scarce[0],
+                "by score over time: " + scarce[0] + " to " + scarce[1]);
     }
 
-    /** How many calls go to a quick and to a slow route within two seconds. */
+    /**
+     * Accepts 200 requests within two seconds and returns the numbers of calls to routes a and b. Route a answers
+     * after 20 ms, route b after 200 ms.
+     */
     private static long[] countCallsPerRoute(SimulatedRelay one, int firstId) {
         one.sent.clear();
         for (int id = firstId + 100; id < firstId + 300; id++) {
@@ -485,15 +559,19 @@
             one.sent.stream().filter(s -> s.route().equals("b")).count()};
     }
 
+    /** Answers the calls to a route that have been in flight for {@code minAge} microseconds or longer. */
     private static void answerOlderThan(SimulatedRelay one, String route, long age) {
-        List.copyOf(one.unanswered).stream().filter(s -> s.route().equals(route) && one.now - s.sentAt() >= age)
+        List.copyOf(one.unanswered).stream()
+                .filter(s -> s.route().equals(route) && one.now - s.sentAt() >= age)
                 .forEach(s -> one.answer(s.id(), Result.OK));
     }
 
     @Test
     void whatLosesMostByWaitingGoesFirst() {
-        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.settings(1, 100)).receiveFullList(route("a", 1, "plain", "east"));
-        one.accept(1, "safe", 1).accept(2, "safe", 1).advance(SECOND).accept(3, "quick", 1).answer(1, Result.OK);
+        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.settings(1, 100))
+                .receiveFullList(route("a", 1, "plain", "east"));
+        one.accept(1, "safe", 1).accept(2, "safe", 1).advance(SECOND)
+                .accept(3, "quick", 1).answer(1, Result.OK);
         assertEquals(3, one.sent.get(1).id());
     }
 
@@ -507,11 +585,14 @@
     @Test
     void guardedDestinationIsCalledByTurns() {
         SimulatedRelay peer = createRelayWithPeer();
-        peer.runRound(receivedNote(PeerNoteType.COORDINATION_START)).accept(1, "safe", 1).accept(2, "safe", 1).advance(SECOND);
+        peer.runRound(receivedNote(PeerNoteType.COORDINATION_START))
+                .accept(1, "safe", 1).accept(2, "safe", 1).advance(SECOND);
         assertEquals(0, peer.sent.size());
         peer.runRound(receivedNote(PeerNoteType.TOKEN_GRANT));
         assertEquals(1, peer.sent.size());
-        assertEquals(List.of("1:" + noteHex(PeerNoteType.TOKEN_REQUEST), "1:" + noteHex(PeerNoteType.TOKEN_REQUEST)), peer.sentNotes);
+        assertEquals(
+                List.of("1:" + noteHex(PeerNoteType.TOKEN_REQUEST), "1:" + noteHex(PeerNoteType.TOKEN_REQUEST)),
+                peer.sentNotes);
     }
 
     @Test
@@ -528,7 +609,9 @@
             keeper.runRound(new Policy.PeerNote(from, noteBytes(PeerNoteType.CALL_REFUSED, 2)));
         }
         keeper.advance(5 * SECOND);
-        long turns = keeper.sentNotes.stream().filter(t -> t.endsWith(HexFormat.of().formatHex(noteBytes(PeerNoteType.TOKEN_GRANT, 2)))).count();
+        long turns = keeper.sentNotes.stream()
+                .filter(t -> t.endsWith(HexFormat.of().formatHex(noteBytes(PeerNoteType.TOKEN_GRANT, 2))))
+                .count();
         assertTrue(turns >= 5 && turns <= 20, "turns in five seconds: " + turns);
     }
 
@@ -541,17 +624,21 @@
         assertEquals(1, peer.countSends(1));
     }
 
+    /** A reported limit of 0, taken literally, would stop all calls to the destination. */
     @Test
     void reportedLimitOfNothingIsNoLimit() {
         relay.accept(1, "safe", 2).advance(MILLISECOND);
-        relay.runRound(new Policy.AttemptEnded(1, 0, "c", Result.FULL, false, 0, MILLISECOND, new Policy.LimitReport(0, 0)));
+        relay.runRound(new Policy.AttemptEnded(1, 0, "c", Result.FULL, false, 0, MILLISECOND,
+                new Policy.LimitReport(0, 0)));
         relay.advance(3 * SECOND);
         assertEquals(2, relay.countSends(1));
     }
 
     @Test
     void routeListedAndRemovedInOneRoundIsNotUsed() {
-        relay.runRound(new Policy.RouteListUpdate(Policy.RouteListUpdateType.CHANGES, 2, List.of(route("n", 9, "plain", "east"))),
+        relay.runRound(
+                new Policy.RouteListUpdate(Policy.RouteListUpdateType.CHANGES, 2, List.of(
+                        route("n", 9, "plain", "east"))),
                 new Policy.RouteListUpdate(Policy.RouteListUpdateType.CHANGES, 3, List.of(
                         new ListedRoute("n", 9, "plain", "east", Availability.REMOVED, 0))),
                 new Policy.RequestAccepted(1, "safe", null, null, 20 * SECOND, 9));
@@ -561,24 +648,30 @@
     @Test
     void aRelayAloneAndOneOfFourHundredServe() {
         for (int size : new int[] {1, 400}) {
-            SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(size, 3)).receiveFullList(route("c", 2, "apart", "east"));
+            SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(size, 3))
+                    .receiveFullList(route("c", 2, "apart", "east"));
             one.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.OK);
             assertEquals(1, one.countSends(1));
         }
     }
 
+    /** The first of two relays. The other one coordinates destination 1, the relay itself destination 2. */
     private static SimulatedRelay createRelayWithPeer() {
-        return new SimulatedRelay(SimulatedRelay.settingsWithPeers(2)).receiveFullList(route("a", 1, "plain", "east"), route("b", 2, "plain", "east"));
+        return new SimulatedRelay(SimulatedRelay.settingsWithPeers(2))
+                .receiveFullList(route("a", 1, "plain", "east"), route("b", 2, "plain", "east"));
     }
 
+    /** A note from the other relay about destination 1. */
     private static Policy.PeerNote receivedNote(PeerNoteType word) {
         return new Policy.PeerNote(1, noteBytes(word, 1));
     }
 
+    /** The bytes of a note about destination 1, as {@link SimulatedRelay#sentNotes} contains them. */
     private static String noteHex(PeerNoteType word) {
         return HexFormat.of().formatHex(noteBytes(word, 1));
     }
 
+    /** A note as relays send it: the position of its type in one byte, then the number of the limit group. */
     private static byte[] noteBytes(PeerNoteType word, int number) {
         return ByteBuffer.allocate(5).put((byte) word.ordinal()).putInt(number).array();
     }
@@ -588,8 +681,10 @@
         SimulatedRelay asking = new SimulatedRelay(SimulatedRelay.settings(4, 10, true)).receiveFullList();
         assertEquals(List.of(0L), asking.subscribedAt);
         for (int failure = 1; failure <= 5; failure++) {
-            asking.runRound(new Policy.RouteListUpdate(Policy.RouteListUpdateType.FAILED, 0, List.of())).advance(10 * SECOND);
-            assertEquals(failure + 1, asking.subscribedAt.size(), "asked within the rule's span");
+            asking.runRound(new Policy.RouteListUpdate(Policy.RouteListUpdateType.FAILED, 0, List.of()))
+                    .advance(10 * SECOND);
+            assertEquals(failure + 1, asking.subscribedAt.size(),
+                    "asked within the rule's span");
         }
     }
 
@@ -599,7 +694,7 @@
         assertTrue(thrown.getMessage().contains("callSlots"));
     }
 
-    /** So many served calls to route c that it is called often. */
+    /** Lets route c serve so many calls that one failure no longer opens its circuit. */
     private void makeFrequentCalls() {
         for (int id = 1_000; id < 1_008; id++) {
             relay.accept(id, "safe", 2).advance(MILLISECOND).answer(id, Result.OK);
@@ -607,6 +702,7 @@
         relay.sent.clear();
     }
 
+    /** Opens the circuit of route c by three failures in a row. */
     private void openCircuitOfRouteC() {
         makeFrequentCalls();
         for (int id = 1; id <= 3; id++) {
@@ -615,8 +711,10 @@
         assertEquals(List.of("out: c"), relay.logLines);
     }
 
+    /** Resumes a request to destination 1 after a restart, with its earlier attempts and 15 s to its deadline. */
     private void resume(long id, String type, Policy.PastAttempt... past) {
-        relay.runRound(new Policy.RequestResumed(new Policy.RequestAccepted(id, type, null, null, relay.now + 15 * SECOND, 1),
+        relay.runRound(new Policy.RequestResumed(
+                new Policy.RequestAccepted(id, type, null, null, relay.now + 15 * SECOND, 1),
                 List.of(past)));
     }
 
@@ -658,16 +756,20 @@
 
     @Test
     void waitToldToAProbeBindsCalls() {
-        relay.runRound(new Policy.ProbeEnded("a", Result.FULL, SECOND, MILLISECOND, Policy.LimitReport.NONE)).accept(1, "safe", 1);
+        relay.runRound(new Policy.ProbeEnded("a", Result.FULL, SECOND, MILLISECOND, Policy.LimitReport.NONE))
+                .accept(1, "safe", 1);
         relay.advance(SECOND - MILLISECOND);
         assertEquals(0, relay.countSends(1));
     }
 
+    /** Calls whose answers are lost would occupy slots until their time is up. */
     @Test
     void unansweredCallGivesWayEarlyWhereAnotherAttemptMayFollow() {
-        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(2, 50)).receiveFullList(route("a", 1, "plain", "east"),
-                route("d", 3, "bulk", "east"), route("e", 4, "plain", "east"));
-        narrow.accept(1, "safe", 1).accept(2, "once", 3).advance(MILLISECOND).accept(3, "safe", 4).advance(1200 * MILLISECOND);
+        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(2, 50))
+                .receiveFullList(route("a", 1, "plain", "east"), route("d", 3, "bulk", "east"),
+                        route("e", 4, "plain", "east"));
+        narrow.accept(1, "safe", 1).accept(2, "once", 3).advance(MILLISECOND)
+                .accept(3, "safe", 4).advance(1200 * MILLISECOND);
         assertTrue(narrow.cancelled.isEmpty(), "the usual response is not known to be short yet");
         narrow.advance(900 * MILLISECOND);
         assertEquals(List.of(1L), narrow.cancelled, "the other may be sent once");
@@ -683,28 +785,36 @@
         assertEquals(List.of(100L), cancelledAfterUnanswered(true, "once"));
     }
 
+    /** A route that has answered nothing since a call was sent may be slow or down; no answer need be lost. */
     @Test
     void callsThatNothingWasAnsweredSinceProveNoAnswerLost() {
         assertEquals(List.of(), cancelledAfterUnanswered(false, "safe"));
     }
 
-    /** What a relay with four slots gives up within 0.7 s once others want them, after five calls had no answer. */
+    /**
+     * The requests whose calls a relay with four slots cancels. Five calls time out first. Then requests 100 to 103
+     * occupy the slots and request 104 needs one for 0.7 s. If {@code answeredSince}, the route has answered a call
+     * sent after each of the five, which shows that their answers were lost.
+     */
     private static List<Long> cancelledAfterUnanswered(boolean answeredSince, String type) {
-        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(4, 50)).receiveFullList(route("a", 1, "plain", "east"),
-                route("d", 3, "plain", "east"), route("e", 4, "plain", "east"), route("f", 5, "plain", "east"),
-                route("g", 6, "plain", "east"));
+        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(4, 50))
+                .receiveFullList(route("a", 1, "plain", "east"), route("d", 3, "plain", "east"),
+                        route("e", 4, "plain", "east"), route("f", 5, "plain", "east"),
+                        route("g", 6, "plain", "east"));
         for (int lost = 0; lost < 10; lost += 2) {
             int other = lost + 1;
             if (answeredSince) {
                 narrow.accept(lost, "once", 1);
             }
-            narrow.advance(MILLISECOND).accept(other, "safe", 1).advance(50 * MILLISECOND).answer(other, Result.OK);
+            narrow.advance(MILLISECOND).accept(other, "safe", 1).advance(50 * MILLISECOND)
+                    .answer(other, Result.OK);
             if (!answeredSince) {
                 narrow.advance(MILLISECOND).accept(lost, "once", 1);
             }
             narrow.advance(SECOND).answer(lost, Result.TIMEOUT);
         }
-        narrow.accept(100, type, 1).accept(101, "once", 3).accept(102, "once", 4).accept(103, "once", 5).advance(MILLISECOND);
+        narrow.accept(100, type, 1).accept(101, "once", 3)
+                .accept(102, "once", 4).accept(103, "once", 5).advance(MILLISECOND);
         narrow.accept(104, "safe", 6).advance(700 * MILLISECOND);
         return narrow.cancelled;
     }
@@ -713,8 +823,9 @@
     void anotherProcessGoesOnWithWaitsCircuitsAndSlots() {
         relay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.FULL, 5 * SECOND);
         openCircuitOfRouteA();
-        SimulatedRelay heir = new SimulatedRelay(SimulatedRelay.settings()).receiveFullList(route("a", 1, "plain", "east"),
-                route("c", 2, "apart", "east"), route("d", 3, "bulk", "east"));
+        SimulatedRelay heir = new SimulatedRelay(SimulatedRelay.settings())
+                .receiveFullList(route("a", 1, "plain", "east"), route("c", 2, "apart", "east"),
+                        route("d", 3, "bulk", "east"));
         heir.now = relay.now;
         heir.runRound(new Policy.LearnedStateRestored(relay.module().encodeLearnedState(), 7));
         heir.accept(20, "safe", 2).accept(21, "safe", 1).accept(22, "safe", 3).advance(MILLISECOND);
@@ -724,6 +835,7 @@
         assertEquals(heir.module().countUnavailableRoutes(heir.now), 2);
     }
 
+    /** Removes route b and fails calls until both route a and route c are avoided; c has a retry-after time. */
     private void openCircuitOfRouteA() {
         relay.receiveListChanges(new ListedRoute("b", 1, "plain", "west", Availability.REMOVED, 0));
         relay.accept(100, "safe", 1).advance(MILLISECOND);
@@ -734,8 +846,8 @@
 
     @Test
     void callsOutAtAnotherProcessHoldSlotsUntilItHasEnded() {
-        SimulatedRelay heir = new SimulatedRelay(SimulatedRelay.settings(2, 50)).receiveFullList(route("d", 3, "bulk", "east"),
-                route("a", 1, "plain", "east"));
+        SimulatedRelay heir = new SimulatedRelay(SimulatedRelay.settings(2, 50))
+                .receiveFullList(route("d", 3, "bulk", "east"), route("a", 1, "plain", "east"));
         heir.runRound(new Policy.LearnedStateRestored(new byte[0], 2));
         heir.accept(1, "safe", 3).advance(MILLISECOND);
         assertEquals(0, heir.countSends(1));
@@ -747,6 +859,7 @@
         assertEquals(1, heir.countSends(2));
     }
 
+    /** CROWDED means that all connections of the route are in use. A lower pacing rate would not free one. */
     @Test
     void connectionsThatAreTakenCutNoPaceAndAreLeftToOthersForAMoment() {
         makeFrequentCalls();
@@ -775,9 +888,14 @@
         SimulatedRelay one = createRelayServedTwentyPerSecond(SimulatedRelay.settings());
         one.accept(100, "safe", 1).advance(50 * MILLISECOND).answer(100, Result.FULL).advance(SECOND);
         long sent = countSendsInOneSecond(one, 200);
-        assertTrue(sent >= 14 && sent < 30, "twenty a second were served and one was refused, sent: " + sent);
+        assertTrue(sent >= 14 && sent < 30,
+                "twenty a second were served and one was refused, sent: " + sent);
     }
 
+    /**
+     * The rate that was served before several cuts must not be forgotten: slow growth from the lowest rate would take
+     * far longer to reach it.
+     */
     @Test
     void rowOfRefusalsIsRegainedWithinSeconds() {
         SimulatedRelay one = createRelayServedTwentyPerSecond(SimulatedRelay.settings());
@@ -792,15 +910,21 @@
         countSendsInOneSecond(one, 300);
         countSendsInOneSecond(one, 400);
         long regained = countSendsInOneSecond(one, 500);
-        assertTrue(cut < 10 && regained >= 12, "sent in the first second " + cut + ", in the fourth " + regained);
+        assertTrue(cut < 10 && regained >= 12,
+                "sent in the first second " + cut + ", in the fourth " + regained);
     }
 
+    /**
+     * If each relay kept at least its share of the quotas, the fleet could stay above a limit while refused calls use
+     * it up.
+     */
     @Test
     void fleetThatIsRefusedGoesBelowAnyLimitWhateverTheQuotas() {
         Policy.Settings plain = SimulatedRelay.fleetSettings(14, 7);
         SimulatedRelay one = new SimulatedRelay(new Policy.Settings(7, 0, 14, "east", plain.classes(),
-                List.of(new Policy.Tenant("acme", 60)), plain.kinds(), plain.zones(), plain.limits(), plain.rules(), 1,
-                false, false, Policy.RateHint.NONE, 0)).receiveFullList(route("a", 1, "plain", "east"));
+                List.of(new Policy.Tenant("acme", 60)), plain.kinds(), plain.zones(),
+                plain.limits(), plain.rules(), 1, false, false, Policy.RateHint.NONE, 0))
+                .receiveFullList(route("a", 1, "plain", "east"));
         for (int id = 1; id <= 20; id++) {
             one.accept(id, "safe", 1);
         }
@@ -808,14 +932,16 @@
         while (one.now < 10 * SECOND) {
             before = one.now < 5 * SECOND ? one.sent.size() : before;
             one.advance(5 * MILLISECOND);
-            // One of three is served, so that it does not count as shut.
+            // One call of three is served, so that the refusals do not count as an outage.
             List.copyOf(one.unanswered).forEach(sent -> one.answer(sent.id(),
                     one.sent.size() % 3 == 0 ? Result.OK : Result.FULL));
         }
         long late = one.sent.size() - before;
-        assertTrue(late <= 7, "calls of one in fourteen in the second five seconds: " + late);
+        assertTrue(late <= 7,
+                "calls of one in fourteen in the second five seconds: " + late);
     }
 
+    /** A relay that route a has served twenty calls a second for three seconds. */
     private static SimulatedRelay createRelayServedTwentyPerSecond(Policy.Settings settings) {
         SimulatedRelay one = new SimulatedRelay(settings).receiveFullList(route("a", 1, "plain", "east"));
         for (int id = 1; id <= 60; id++) {
@@ -824,7 +950,7 @@
         return one;
     }
 
-    /** With more waiting than may go, each answered at once. */
+    /** The number of calls within one second while more requests wait than may be sent; each is served at once. */
     private static long countSendsInOneSecond(SimulatedRelay one, int firstId) {
         for (int id = firstId; id < firstId + 40; id++) {
             one.accept(id, "safe", 1);
@@ -834,6 +960,7 @@
             one.advance(5 * MILLISECOND);
             List.copyOf(one.unanswered).forEach(sent -> one.answer(sent.id(), Result.OK));
         }
-        return one.sent.stream().filter(sent -> sent.sentAt() >= from && sent.sentAt() < from + SECOND).count();
+        return one.sent.stream()
+                .filter(sent -> sent.sentAt() >= from && sent.sentAt() < from + SECOND).count();
     }
 }
