--- a/src/test/java/drumdeal/SimulatedFleet.java
+++ b/src/test/java/drumdeal/SimulatedFleet.java
@@ -6,13 +6,19 @@
 import java.util.function.BiConsumer;
 import java.util.function.IntFunction;
 
-/** Relays of tests on one clock that get messages for destination 1 at random moments. */
+/**
+ * A fleet of simulated relays. Each relay accepts requests to destination 1 at random times and passes the attempts
+ * that it sends to a receiver.
+ */
 final class SimulatedFleet {
     final List<SimulatedRelay> relays = new ArrayList<>();
+    /** Random numbers of the fleet, which receivers use as well. */
     final SplittableRandom random;
+    /** Number of the attempts of each relay that the receiver already got. */
     private final int[] forwardedCounts;
     private long nextId;
 
+    /** A fleet of {@code size} relays; {@code factory} creates each of them from its number, which counts from 0. */
     SimulatedFleet(int size, long randomSeed, IntFunction<SimulatedRelay> relay) {
         for (int i = 0; i < size; i++) {
             relays.add(relay.apply(i));
@@ -21,7 +27,10 @@
         forwardedCounts = new int[size];
     }
 
-    /** Hands one relay a message with a probability, and passes on what it has sent since the last time. */
+    /**
+     * Lets one relay accept a request with the given probability, then passes the attempts that it has sent since the
+     * last step to the receiver.
+     */
     void stepRelay(int number, double probability, BiConsumer<SimulatedRelay, SimulatedRelay.SentAttempt> receiver) {
         SimulatedRelay relay = relays.get(number);
         if (random.nextDouble() < probability) {
--- a/src/test/java/drumdeal/SimulatedRelay.java
+++ b/src/test/java/drumdeal/SimulatedRelay.java
@@ -13,57 +13,99 @@
 import java.util.List;
 import java.util.Map;
 
-/** A relay of tests: plays rounds to a module and keeps what it asks for. */
+/**
+ * A relay for tests. It reports events to a decision module on a simulated clock and records the actions that the
+ * module takes. The clock stands still unless {@link #advance} moves it.
+ */
 final class SimulatedRelay implements Policy.Actions {
+    /** In microseconds, as all times of the decision module. */
     static final long MILLISECOND = 1_000;
+    /** In microseconds. */
     static final long SECOND = 1_000_000;
 
+    /**
+     * An attempt that the module started.
+     *
+     * @param sentAt when, in microseconds
+     * @param id id of the request
+     * @param attempt index among the attempts that this relay made for the request, from 0
+     * @param route name of the route
+     * @param timeout in microseconds; 0 means until the request's deadline
+     */
     record SentAttempt(long sentAt, long id, int attempt, String route, long timeout) { }
 
+    /** All attempts, in the order sent. */
     final List<SentAttempt> sent = new ArrayList<>();
+    /** Attempts in flight, in the order sent. */
     final List<SentAttempt> unanswered = new ArrayList<>();
-    /** Until when each attempt sent may leave. */
+    /** For each attempt, in the order sent, the latest time at which it may leave; no limit: Long.MAX_VALUE. */
     final List<Long> latestSendTimes = new ArrayList<>();
+    /** Ids of the requests that the module rejected. */
     final List<Long> refused = new ArrayList<>();
+    /** Ids of the requests that the module failed. */
     final List<Long> failed = new ArrayList<>();
+    /** Request ids of the attempts that the module cancelled; they stay in flight until a test ends them. */
     final List<Long> cancelled = new ArrayList<>();
     final List<String> probedRoutes = new ArrayList<>();
+    /** Times at which the module subscribed to changes of the route list. */
     final List<Long> subscribedAt = new ArrayList<>();
+    /** Notes to other relays, as "receiver:payload" with the payload in hexadecimal digits. */
     final List<String> sentNotes = new ArrayList<>();
+    /** Lines that the module logged, each cut off before its first parenthesis, which contains figures. */
     final List<String> logLines = new ArrayList<>();
+    /** How often the module requested the whole route list. */
     int listFetchCount;
+    /** Pending timers, each with the time when it is due and its number. */
     private final List<long[]> timers = new ArrayList<>();
     private final Policy policy;
+    /** Number of attempts by request id. */
     private final Map<Long, Integer> attemptCounts = new HashMap<>();
+    /** Current time in microseconds. */
     long now;
 
     SimulatedRelay(Policy.Settings settings) {
         policy = new DeliveryPolicy(settings);
     }
 
+    /** The decision module of this relay. */
     Policy module() {
         return policy;
     }
 
-    /** Two kinds: shared limits in batches of four ("plain" carries one), and routes apart. */
+    /**
+     * Settings of the first of two relays, in zone "east", with ten call slots and at most 100 open requests.
+     *
+     * <p>Request classes: "safe" is repeatable, "keyed" is repeatable by key in one zone for 6 s, "once" must not be
+     * repeated, "ordered" is repeatable and delivered in the order of keys, and "quick" is repeatable with nine times
+     * the value and the shorter goal of 0.5 s. All have 20 s to their deadline.
+     *
+     * <p>Kinds of destination: the routes of "plain" share one limit and get one request per call, those of "bulk"
+     * share one limit and get up to four, and each route of "apart" has a limit of its own.
+     *
+     * <p>Rules: a destination collapses if it gets more than twice its capacity within two seconds. After an outage it
+     * has 20 % of its capacity and warms up within ten seconds. A draining route may get attempts for one second, and
+     * a request may have six attempts. A key of an ordered class pauses for three seconds.
+     */
     static Policy.Settings settings() {
         return settings(10, 100);
     }
 
+    /** As {@link #settings()}, with other limits on calls in flight and on open requests. */
     static Policy.Settings settings(int slots, int maxOpen) {
         return settings(slots, maxOpen, false);
     }
 
+    /** As above; with {@code mustSubscribe} the module has to subscribe to changes of the route list. */
     static Policy.Settings settings(int slots, int maxOpen, boolean mustSubscribe) {
         return settings(7, 2, slots, maxOpen, mustSubscribe, false);
     }
 
-    /** One of a fleet of relays. */
+    /** As {@link #settings()}, for one relay of a fleet; {@code seed} determines its random decisions. */
     static Policy.Settings fleetSettings(int size, long seed) {
         return settings(seed, size, 10, 100, false, false);
     }
 
-    /** The first of a fleet whose relays may send notes. */
+    /** As {@link #settings()}, for the first relay of a fleet whose relays may send notes to one another. */
     static Policy.Settings settingsWithPeers(int size) {
         return settings(7, size, 10, 100, false, true);
     }
@@ -71,47 +113,59 @@
     private static Policy.Settings settings(long seed, int fleet, int slots, int maxOpen,
             boolean mustSubscribe, boolean peers) {
         return new Policy.Settings(seed, 0, fleet, "east",
-                List.of(requestClass("safe", Idempotency.REPEATABLE, false), requestClass("keyed", Idempotency.BY_KEY, false),
-                        requestClass("once", Idempotency.ONCE, false), requestClass("ordered", Idempotency.REPEATABLE, true),
-                        new RequestClass("quick", Idempotency.REPEATABLE, KeyScope.ALL, 0, SECOND / 2, 20 * SECOND, 9, 0, false)),
-                List.of(), List.of(new Policy.DestinationKind("plain", false, 1), new Policy.DestinationKind("apart", true, 1),
+                List.of(requestClass("safe", Idempotency.REPEATABLE, false),
+                        requestClass("keyed", Idempotency.BY_KEY, false),
+                        requestClass("once", Idempotency.ONCE, false),
+                        requestClass("ordered", Idempotency.REPEATABLE, true),
+                        new RequestClass("quick", Idempotency.REPEATABLE, KeyScope.ALL, 0, SECOND / 2, 20 * SECOND, 9,
+                                0, false)),
+                List.of(),
+                List.of(new Policy.DestinationKind("plain", false, 1), new Policy.DestinationKind("apart", true, 1),
                         new Policy.DestinationKind("bulk", false, 4)),
                 List.of(new Policy.Zone("east", 0), new Policy.Zone("west", 0)),
                 new Policy.Limits(slots, maxOpen, 6, true, true, peers, false, false, SECOND),
-                new Policy.ServiceRules(20 * MILLISECOND, SECOND, 2, 2 * SECOND, 0.2, 10 * SECOND, 10 * SECOND, 3 * SECOND),
+                new Policy.ServiceRules(20 * MILLISECOND, SECOND, 2, 2 * SECOND, 0.2, 10 * SECOND, 10 * SECOND,
+                        3 * SECOND),
                 1, false, mustSubscribe, Policy.RateHint.NONE, 0);
     }
 
     private static RequestClass requestClass(String name, Idempotency repeat, boolean inOrder) {
-        return new RequestClass(name, repeat, KeyScope.ZONE, 6 * SECOND, 2 * SECOND, 20 * SECOND, 1, 0.5, inOrder);
+        return new RequestClass(name, repeat, KeyScope.ZONE, 6 * SECOND, 2 * SECOND, 20 * SECOND, 1, 0.5,
+                inOrder);
     }
 
+    /** A route in service without a listed rate. */
     static Policy.ListedRoute route(String name, int destination, String kind, String zone) {
         return new Policy.ListedRoute(name, destination, kind, zone, Availability.LISTED, 0);
     }
 
+    /** Reports a route list that replaces the previous one. */
     SimulatedRelay receiveFullList(Policy.ListedRoute... entries) {
         return runRound(new Policy.RouteListUpdate(Policy.RouteListUpdateType.FULL, 1, List.of(entries)));
     }
 
+    /** Reports changes of the route list. */
     SimulatedRelay receiveListChanges(Policy.ListedRoute... entries) {
         return runRound(new Policy.RouteListUpdate(Policy.RouteListUpdateType.CHANGES, 2, List.of(entries)));
     }
 
+    /** Reports a new request, without a key and with 20 s to its deadline. */
     SimulatedRelay accept(long id, String type, int destination) {
         return accept(id, type, destination, null);
     }
 
+    /** Reports a new request with 20 s to its deadline. */
     SimulatedRelay accept(long id, String type, int destination, String key) {
         return runRound(new Policy.RequestAccepted(id, type, null, key, now + 20 * SECOND, destination));
     }
 
+    /** Reports events to the module in one round at the current time. */
     SimulatedRelay runRound(Event... events) {
         policy.onRound(now, List.of(events), this);
         return this;
     }
 
-    /** Lets time pass, playing timers as they fall due. */
+    /** Moves the clock forward by {@code micros}; each timer fires in a round of its own when it is due. */
     SimulatedRelay advance(long span) {
         long end = now + span;
         while (true) {
@@ -126,11 +180,16 @@
         }
     }
 
+    /** Ends the oldest attempt in flight of a request with a result, without a retry-after time. */
     SimulatedRelay answer(long id, Result result) {
         return answer(id, result, 0);
     }
 
-    /** Answers the oldest attempt of a request that is out. */
+    /**
+     * Ends the oldest attempt in flight of a request with a result.
+     *
+     * @param retryAfter retry-after time of the answer in microseconds; 0 for none
+     */
     SimulatedRelay answer(long id, Result result, long toldWait) {
         SentAttempt attempt = unanswered.stream().filter(s -> s.id() == id).findFirst().orElseThrow();
         unanswered.remove(attempt);
@@ -138,6 +197,7 @@
                 toldWait, now - attempt.sentAt(), LimitReport.NONE));
     }
 
+    /** Number of attempts of a request. */
     long countSends(long id) {
         return sent.stream().filter(s -> s.id() == id).count();
     }
@@ -200,6 +260,6 @@
 
     @Override
     public void log(String text) {
-        logLines.add(text.replaceFirst(" \\(.*", "")); // without the figures
+        logLines.add(text.replaceFirst(" \\(.*", ""));
     }
 }
