--- a/src/test/java/drumdeal/RandomEventsTest.java
+++ b/src/test/java/drumdeal/RandomEventsTest.java
@@ -19,15 +19,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Plays legal events in awkward order and checks the rules on every action. */
+/** Reports random but valid sequences of events to the decision module and checks each of its actions. */
 class RandomEventsTest {
-    /** Results that prove that nothing ran, as the rules name them. */
+    /** The results used here that prove that an attempt took no effect. */
     private static final Set<Result> RESULTS_WITHOUT_EFFECT =
             Set.of(Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT);
     private static final long MILLISECOND = SimulatedRelay.MILLISECOND;
     private static final long SECOND = SimulatedRelay.SECOND;
-    private static final Result[] WEIGHTED_RESULTS = {Result.OK, Result.OK, Result.OK, Result.OK, Result.ERROR, Result.FULL,
-        Result.CONNECT_FAILED, Result.RESET, Result.TIMEOUT, Result.NOT_SENT};
+    /** Results of attempts and probes, drawn with equal probability; OK is repeated to be more frequent. */
+    private static final Result[] WEIGHTED_RESULTS = {Result.OK, Result.OK, Result.OK, Result.OK, Result.ERROR,
+        Result.FULL, Result.CONNECT_FAILED, Result.RESET, Result.TIMEOUT, Result.NOT_SENT};
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -41,39 +42,54 @@
         assertEquals(checker.requestsById.size(), checker.answeredCount);
     }
 
+    /** A request that the module accepted, as the checker knows it. */
     private static final class TrackedRequest {
         RequestClass requestClass;
         int destination;
+        /** Key by which requests are ordered; null for a class without order. */
         String key;
         long deadline;
+        /** True once the request was delivered, rejected or failed. */
         boolean ended;
         final List<TrackedAttempt> attempts = new ArrayList<>();
     }
 
+    /** An attempt that the module started. */
     private static final class TrackedAttempt {
         String route;
         long sentAt;
+        /** When the attempt ends with TIMEOUT at the latest. */
         long timeoutAt;
+        /** Null while the attempt is in flight. */
         Result result;
     }
 
-    /** The world of one module; it holds each action against the rules. */
+    /** Simulates everything around one decision module and checks each of the module's actions against the rules. */
     private static final class RuleChecker implements Policy.Actions {
         final Policy.Settings settings = SimulatedRelay.settings(8, 60);
         final Policy policy = new DeliveryPolicy(settings);
         final Random random;
         final Map<Long, TrackedRequest> requestsById = new HashMap<>();
+        /** Each with the request id and the index of the attempt. */
         final List<long[]> attemptsInFlight = new ArrayList<>();
+        /** Each with the time when it is due and its number. */
         final List<long[]> timers = new ArrayList<>();
+        /** Latest entry of each route by name, also of draining and removed routes. */
         final Map<String, Policy.ListedRoute> listedRoutes = new HashMap<>();
+        /** When a route that is draining or removed stopped being in service. */
         final Map<String, Long> unlistedAt = new HashMap<>();
+        /** End of the longest retry-after time by limit group; see {@link #groupOf}. */
         final Map<String, Long> groupBlockedUntil = new HashMap<>();
+        /** End of the pause of a key, which follows an unanswered attempt that may have taken effect. */
         final Map<String, Long> keyBlockedUntil = new HashMap<>();
+        /** Events for the next round. */
         final List<Event> pendingEvents = new ArrayList<>();
         long now = 5 * SECOND;
         long nextId;
+        /** Number of requests that ended. */
         int answeredCount;
 
+        /** Starts the module with a list of nine routes, three for each of the destinations 0 to 2. */
         RuleChecker(long seed) {
             random = new Random(seed);
             for (int i = 0; i < 9; i++) {
@@ -81,10 +97,12 @@
                 String kind = settings.kinds().get(destination).name();
                 putRoute(SimulatedRelay.route("r" + i, destination, kind, i % 2 == 0 ? "east" : "west"));
             }
-            pendingEvents.add(new Policy.RouteListUpdate(Policy.RouteListUpdateType.CACHED, 1, List.copyOf(listedRoutes.values())));
+            pendingEvents.add(new Policy.RouteListUpdate(Policy.RouteListUpdateType.CACHED, 1,
+                    List.copyOf(listedRoutes.values())));
             runRound();
         }
 
+        /** Records the latest entry of a route. */
         void putRoute(Policy.ListedRoute entry) {
             listedRoutes.put(entry.route(), entry);
             if (entry.availability() == Availability.LISTED) {
@@ -94,6 +112,7 @@
             }
         }
 
+        /** Moves the clock by less than 60 ms and reports random events in one round. */
         void step() {
             now += random.nextInt(60) * MILLISECOND;
             if (random.nextInt(3) > 0) {
@@ -101,7 +120,8 @@
             }
             timeOutExpiredAttempts();
             for (int i = random.nextInt(4); i > 0 && !attemptsInFlight.isEmpty(); i--) {
-                completeAttempt(attemptsInFlight.remove(random.nextInt(attemptsInFlight.size())), WEIGHTED_RESULTS[random.nextInt(WEIGHTED_RESULTS.length)]);
+                completeAttempt(attemptsInFlight.remove(random.nextInt(attemptsInFlight.size())),
+                        WEIGHTED_RESULTS[random.nextInt(WEIGHTED_RESULTS.length)]);
             }
             if (random.nextInt(200) == 0) {
                 changeList();
@@ -109,6 +129,7 @@
             runRound();
         }
 
+        /** Reports a new request; destination 3 has no route. */
         void acceptRequest() {
             TrackedRequest track = new TrackedRequest();
             track.requestClass = settings.classes().get(random.nextInt(4));
@@ -116,18 +137,21 @@
             track.key = track.requestClass.orderedByKey() ? "k" + random.nextInt(5) : null;
             track.deadline = now + track.requestClass.timeLimitMicros() / (1 + random.nextInt(4));
             requestsById.put(nextId, track);
-            pendingEvents.add(new Policy.RequestAccepted(nextId++, track.requestClass.name(), null, track.key, track.deadline,
-                    track.destination));
+            pendingEvents.add(new Policy.RequestAccepted(nextId++, track.requestClass.name(), null, track.key,
+                    track.deadline, track.destination));
         }
 
+        /** Changes the availability of a random route. */
         void changeList() {
             String name = "r" + random.nextInt(9);
             Policy.ListedRoute old = listedRoutes.get(name);
             Availability next = Availability.values()[random.nextInt(3)];
             putRoute(new Policy.ListedRoute(name, old.destination(), old.kind(), old.zone(), next, 0));
-            pendingEvents.add(new Policy.RouteListUpdate(Policy.RouteListUpdateType.CHANGES, 2, List.of(listedRoutes.get(name))));
+            pendingEvents.add(new Policy.RouteListUpdate(Policy.RouteListUpdateType.CHANGES, 2,
+                    List.of(listedRoutes.get(name))));
         }
 
+        /** Ends the attempts whose timeout has passed. */
         void timeOutExpiredAttempts() {
             for (long[] attempt : List.copyOf(attemptsInFlight)) {
                 if (requestsById.get(attempt[0]).attempts.get((int) attempt[1]).timeoutAt <= now) {
@@ -137,6 +161,7 @@
             }
         }
 
+        /** Reports the result of the attempt with a request id and index; some refusals carry a retry-after time. */
         void completeAttempt(long[] attempt, Result result) {
             TrackedRequest track = requestsById.get(attempt[0]);
             TrackedAttempt sent = track.attempts.get((int) attempt[1]);
@@ -150,13 +175,15 @@
             if (told > 0) {
                 groupBlockedUntil.merge(groupOf(sent.route), now + told, Math::max);
             }
-            if (track.key != null && !RESULTS_WITHOUT_EFFECT.contains(result) && result != Result.OK && result != Result.ERROR) {
+            if (track.key != null && !RESULTS_WITHOUT_EFFECT.contains(result) && result != Result.OK
+                    && result != Result.ERROR) {
                 keyBlockedUntil.put(track.key, now + settings.rules().orderPauseMicros());
             }
-            pendingEvents.add(new Policy.AttemptEnded(attempt[0], (int) attempt[1], sent.route, result, track.ended, told,
-                    now - sent.sentAt, LimitReport.NONE));
+            pendingEvents.add(new Policy.AttemptEnded(attempt[0], (int) attempt[1], sent.route, result,
+                    track.ended, told, now - sent.sentAt, LimitReport.NONE));
         }
 
+        /** Reports the pending events and due timers, then checks that no request has missed its deadline. */
         void runRound() {
             for (long[] timer : List.copyOf(timers)) {
                 if (timer[0] <= now) {
@@ -169,10 +196,13 @@
                 pendingEvents.clear();
                 policy.onRound(now, round, this);
             }
-            requestsById.forEach((id, track) -> assertTrue(track.ended || now <= track.deadline + 80 * MILLISECOND,
+            // The clock moves in steps of less than 60 ms, so timers fire late and requests may end after the deadline.
+            requestsById.forEach((id, track) -> assertTrue(
+                    track.ended || now <= track.deadline + 80 * MILLISECOND,
                     "request " + id + " is overdue"));
         }
 
+        /** Runs until all requests are beyond their deadlines. */
         void runToCompletion() {
             for (long end = now + 40 * SECOND; now < end; now += 5 * MILLISECOND) {
                 timeOutExpiredAttempts();
@@ -180,6 +210,7 @@
             }
         }
 
+        /** Name of the limit group of a route: the route if it has its own limit, otherwise its destination. */
         String groupOf(String route) {
             Policy.ListedRoute entry = listedRoutes.get(route);
             return entry.kind().equals("apart") ? route : "d" + entry.destination();
@@ -192,8 +223,10 @@
             assertFalse(track.ended, "sent after its end");
             assertEquals(track.destination, entry.destination());
             assertTrue(track.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
-            assertTrue(unlistedAt.getOrDefault(route, now) + settings.rules().drainGraceMicros() >= now, "drain");
-            assertTrue(groupBlockedUntil.getOrDefault(groupOf(route), now) <= now, "wait");
+            assertTrue(unlistedAt.getOrDefault(route, now) + settings.rules().drainGraceMicros() >= now,
+                    "drain");
+            assertTrue(groupBlockedUntil.getOrDefault(groupOf(route), now) <= now,
+                    "wait");
             checkRepeat(track, entry);
             checkOrder(id, track);
             TrackedAttempt sent = new TrackedAttempt();
@@ -204,20 +237,25 @@
             attemptsInFlight.add(new long[] {id, track.attempts.size() - 1});
         }
 
+        /** Checks that the earlier attempts of a request allow another one to a route. */
         void checkRepeat(TrackedRequest track, Policy.ListedRoute entry) {
             for (TrackedAttempt earlier : track.attempts) {
                 assertTrue(earlier.result != null, "two attempts out");
                 if (RESULTS_WITHOUT_EFFECT.contains(earlier.result)) {
                     continue;
                 }
-                assertTrue(track.requestClass.idempotency() != Idempotency.ONCE, "once sent again");
+                assertTrue(track.requestClass.idempotency() != Idempotency.ONCE,
+                        "once sent again");
                 if (track.requestClass.idempotency() == Idempotency.BY_KEY) {
-                    assertEquals(listedRoutes.get(earlier.route).zone(), entry.zone(), "outside the key's zone");
-                    assertTrue(now <= earlier.sentAt + track.requestClass.dedupWindowMicros(), "outside the key's window");
+                    assertEquals(listedRoutes.get(earlier.route).zone(), entry.zone(),
+                            "outside the key's zone");
+                    assertTrue(now <= earlier.sentAt + track.requestClass.dedupWindowMicros(),
+                            "outside the key's window");
                 }
             }
         }
 
+        /** Checks that all earlier requests of the same key have ended and that the key is not paused. */
         void checkOrder(long id, TrackedRequest track) {
             if (track.key == null) {
                 return;
@@ -225,22 +263,27 @@
             for (Map.Entry<Long, TrackedRequest> other : requestsById.entrySet()) {
                 TrackedRequest earlier = other.getValue();
                 if (other.getKey() < id && track.key.equals(earlier.key)) {
-                    assertTrue(earlier.ended && earlier.attempts.stream().allMatch(t -> t.result != null), "order");
+                    assertTrue(earlier.ended && earlier.attempts.stream().allMatch(t -> t.result != null),
+                            "order");
                 }
             }
             if (track.attempts.isEmpty()) {
-                assertTrue(keyBlockedUntil.getOrDefault(track.key, now) <= now, "order pause");
+                assertTrue(keyBlockedUntil.getOrDefault(track.key, now) <= now,
+                        "order pause");
             }
         }
 
+        /** Ends a request by a rejection or a failure; a rejection tells the client that it may submit it again. */
         void endRequest(long id, boolean refusal) {
             TrackedRequest track = requestsById.get(id);
             assertFalse(track.ended, "two final answers");
             track.ended = true;
             answeredCount++;
-            boolean mayHaveRun = track.attempts.stream().anyMatch(t -> t.result == null || !RESULTS_WITHOUT_EFFECT.contains(t.result));
+            boolean mayHaveRun = track.attempts.stream()
+                    .anyMatch(t -> t.result == null || !RESULTS_WITHOUT_EFFECT.contains(t.result));
             if (refusal && mayHaveRun) {
-                assertEquals(Idempotency.REPEATABLE, track.requestClass.idempotency(), "refused though it may have run");
+                assertEquals(Idempotency.REPEATABLE, track.requestClass.idempotency(),
+                        "refused though it may have run");
             }
         }
 
--- a/src/test/java/drumdeal/ResumptionTest.java
+++ b/src/test/java/drumdeal/ResumptionTest.java
@@ -13,32 +13,42 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** What a restart finds taken on and untried is still tried, whatever it comes back to. */
+/**
+ * Tests that requests resumed after a restart, for which no attempt was made, get one before their deadline. Neither
+ * the restored state nor an old route list nor new requests may prevent it.
+ */
 class ResumptionTest {
     private static final int MESSAGE_COUNT = 40;
 
     private final SimulatedRelay relay = new SimulatedRelay(SimulatedRelay.settings(10, 50));
 
+    /** Lists two routes that share the limit of destination 1 and a route of destination 2. */
     private SimulatedRelay listRoutes(SimulatedRelay one) {
-        return one.receiveFullList(route("a", 1, "plain", "east"), route("b", 1, "plain", "west"), route("c", 2, "apart", "east"));
+        return one.receiveFullList(route("a", 1, "plain", "east"), route("b", 1, "plain", "west"),
+                route("c", 2, "apart", "east"));
     }
 
-    /** A whole journal of untried messages, with a little more time left for each. */
+    /** As below, for the ids 0 to 39. */
     private SimulatedRelay resumeMessages(int destination, long left) {
         return resumeMessages(destination, left, 0, MESSAGE_COUNT);
     }
 
+    /**
+     * Resumes the requests with the ids {@code from} to {@code to - 1}, for which no attempt was made. The deadline of
+     * request 0 is {@code timeLeft} microseconds from now, that of each further one 50 ms later.
+     */
     private SimulatedRelay resumeMessages(int destination, long left, int from, int to) {
         List<Policy.Event> events = new ArrayList<>();
         for (int id = from; id < to; id++) {
             long deadline = relay.now + left + id * 50 * MILLISECOND;
             String type = List.of("safe", "keyed", "once").get(id % 3);
-            events.add(new Policy.RequestResumed(new Policy.RequestAccepted(id, type, null, null, deadline, destination), List.of()));
+            events.add(new Policy.RequestResumed(
+                    new Policy.RequestAccepted(id, type, null, null, deadline, destination), List.of()));
         }
         return relay.runRound(events.toArray(Policy.Event[]::new));
     }
 
-    /** Lets time pass, with an answer a while after each call. */
+    /** Moves the clock forward by {@code micros}; each attempt ends with {@code result} after its response time. */
     private void advanceAndAnswer(long span, long after, Result result) {
         for (long end = relay.now + span; relay.now < end;) {
             relay.advance(10 * MILLISECOND);
@@ -47,10 +57,13 @@
         }
     }
 
+    /** Number of resumed requests for which an attempt was made. */
     private long countTried() {
-        return relay.sent.stream().map(SimulatedRelay.SentAttempt::id).filter(id -> id < MESSAGE_COUNT).distinct().count();
+        return relay.sent.stream().map(SimulatedRelay.SentAttempt::id).filter(id -> id < MESSAGE_COUNT).distinct()
+                .count();
     }
 
+    /** The pacing rate learned before the restart would delay most of the requests beyond their deadlines. */
     @Test
     void allAreTriedWhereAPaceComesBackThatWouldHoldThemBeyondTheirTime() {
         SimulatedRelay before = listRoutes(new SimulatedRelay(SimulatedRelay.fleetSettings(100, 3)));
@@ -62,7 +75,9 @@
             before.advance(SECOND);
         }
         relay.now = before.now;
-        listRoutes(relay).runRound(new Policy.LearnedStateRestored(before.module().encodeLearnedState(), 0), new Policy.PredecessorEnded());
+        listRoutes(relay).runRound(
+                new Policy.LearnedStateRestored(before.module().encodeLearnedState(), 0),
+                new Policy.PredecessorEnded());
         resumeMessages(2, 6 * SECOND);
         advanceAndAnswer(9 * SECOND, 100 * MILLISECOND, Result.OK);
         assertTrue(countTried() > MESSAGE_COUNT / 2, "tried " + countTried());
@@ -70,30 +85,41 @@
                 + ", given up uncalled " + (MESSAGE_COUNT - countTried())), relay.logLines.toString());
     }
 
+    /**
+     * The circuit was open before the restart and stays open, as all calls fail. Trials alone would reach only few
+     * of the requests before their deadlines.
+     */
     @Test
     void allAreTriedAtACircuitThatComesBackOpen() {
         SimulatedRelay before = listRoutes(new SimulatedRelay(SimulatedRelay.settings(10, 50)));
         for (int id = 100; id < 112; id++) {
             before.accept(id, "safe", 1).accept(id + 100, "safe", 1).advance(200 * MILLISECOND);
-            List.copyOf(before.unanswered).forEach(sent -> before.answer(sent.id(), Result.CONNECT_FAILED));
+            List.copyOf(before.unanswered)
+                    .forEach(sent -> before.answer(sent.id(), Result.CONNECT_FAILED));
         }
         assertTrue(before.logLines.toString().contains("out: "), before.logLines.toString());
         relay.now = before.now;
-        listRoutes(relay).runRound(new Policy.LearnedStateRestored(before.module().encodeLearnedState(), 0), new Policy.PredecessorEnded());
+        listRoutes(relay).runRound(
+                new Policy.LearnedStateRestored(before.module().encodeLearnedState(), 0),
+                new Policy.PredecessorEnded());
         resumeMessages(1, 15 * SECOND, 0, MESSAGE_COUNT / 2);
         advanceAndAnswer(18 * SECOND, 100 * MILLISECOND, Result.CONNECT_FAILED);
         assertTrue(countTried() > MESSAGE_COUNT / 4, "tried " + countTried());
     }
 
+    /** Unlike a new request, a resumed one is tried even if its answer would probably come too late. */
     @Test
     void littleTimeLeftIsTimeForATry() {
         listRoutes(relay);
         for (int id = 0; id < 6; id++) {
-            relay.runRound(new Policy.RequestResumed(new Policy.RequestAccepted(id, "once", null, null, relay.now + 50 * MILLISECOND + id, 1), List.of()));
+            relay.runRound(new Policy.RequestResumed(
+                    new Policy.RequestAccepted(id, "once", null, null, relay.now + 50 * MILLISECOND + id, 1),
+                    List.of()));
         }
         assertEquals(6, countTried());
     }
 
+    /** The list from before the restart may lack the destination, and the next regular update may come too late. */
     @Test
     void destinationThatTheOldListLacksIsAskedForAtOnceAndTriedOnceItIsKnown() {
         resumeMessages(1, 4 * SECOND).advance(SECOND);
@@ -129,12 +155,17 @@
         assertTrue(relay.logLines.toString().contains("given up uncalled 40"), relay.logLines.toString());
     }
 
+    /**
+     * A process that shuts down sends nothing more. A request whose deadline comes before the next process can call
+     * would expire there untried.
+     */
     @Test
     void processThatEndsHandsBackWhatTheNextOneCanNotTryInTime() {
         listRoutes(relay).runRound(new Policy.ShutdownStarted());
         relay.runRound(new Policy.RequestAccepted(1, "once", null, null, relay.now + 3 * SECOND, 1),
                 new Policy.RequestAccepted(2, "once", null, null, relay.now + 6 * SECOND, 1));
-        assertEquals(List.of(1L), relay.refused, "told at once, and the other is left to the next process");
+        assertEquals(List.of(1L), relay.refused,
+                "told at once, and the other is left to the next process");
         assertEquals(0, relay.sent.size());
     }
 }
