--- a/src/test/java/drumdeal/FleetPacingTest.java
+++ b/src/test/java/drumdeal/FleetPacingTest.java
@@ -13,33 +13,60 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a hundred relays together get served at a destination that takes so many calls in each second. */
+/**
+ * Tests that a hundred relays, each of which knows only its own calls, together make good use of a destination's limit
+ * on calls per second.
+ */
 class FleetPacingTest {
     private static final int RELAY_COUNT = 100;
     private static final long STEP_MICROS = 10 * MILLISECOND;
     private static final long DURATION_MICROS = 50 * SECOND;
+    /** Time after which an accepted call is answered. */
     private static final long RESPONSE_TIME_MICROS = 250 * MILLISECOND;
+    /** Time after which a refused call is answered. */
     private static final long REFUSAL_TIME_MICROS = 40 * MILLISECOND;
-    /** Of the refusals, how many tell how long to wait: until the oldest call counted is a second old. */
+    /** Share of the refusals with a retry-after time, which ends when the oldest counted call is a second old. */
     private static final double RETRY_AFTER_SHARE = 0.6;
 
+    /** Smallest share of the calls that the load and the limit allow that must be served. */
     private static final double MIN_SERVED_SHARE = 0.7;
+    /** As above, for a destination whose limit counts refused calls as well. */
     private static final double MIN_SERVED_SHARE_WHERE_REFUSALS_COUNT = 0.5;
 
+    /** Answers on their way to the relays. */
     private final List<PendingAnswer> pendingAnswers = new ArrayList<>();
+    /** Arrival times within the last second of the calls that count towards the limit. */
     private final ArrayDeque<Long> countedCallTimes = new ArrayDeque<>();
     private int servedCount;
     private int refusedCount;
 
-    private record PendingAnswer(SimulatedRelay relay, SimulatedRelay.SentAttempt sent, long dueAt, Result result, long retryAfter) { }
+    /**
+     * An answer of the destination.
+     *
+     * @param dueAt when it reaches the relay, in microseconds
+     * @param retryAfter its retry-after time in microseconds; 0 for none
+     */
+    private record PendingAnswer(SimulatedRelay relay, SimulatedRelay.SentAttempt sent, long dueAt, Result result,
+            long retryAfter) { }
 
+    /**
+     * Plays 50 s of random requests.
+     *
+     * @param limit calls that the destination accepts within any second
+     * @param load requests per second, as a multiple of the limit
+     * @param hint whether the relays may rely on the listed rate, which equals the limit
+     * @param refusalsCount whether refused calls count towards the limit as well
+     */
     @ParameterizedTest
-    @CsvSource({"3,0.8,NOMINAL,false", "3,0.8,NONE,false", "10,0.8,NOMINAL,false", "10,0.8,NONE,false", "30,0.8,NOMINAL,false", "30,0.8,NONE,false",
-        "3,1.3,NOMINAL,false", "3,1.3,NONE,false", "10,1.3,NOMINAL,false", "10,1.3,NONE,false", "30,1.3,NOMINAL,false", "30,1.3,NONE,false",
-        "10,0.8,NOMINAL,true", "10,0.8,NONE,true", "10,1.3,NOMINAL,true", "10,1.3,NONE,true", "30,1.3,NOMINAL,true", "30,1.3,NONE,true"})
+    @CsvSource({"3,0.8,NOMINAL,false", "3,0.8,NONE,false", "10,0.8,NOMINAL,false", "10,0.8,NONE,false",
+        "30,0.8,NOMINAL,false", "30,0.8,NONE,false", "3,1.3,NOMINAL,false", "3,1.3,NONE,false",
+        "10,1.3,NOMINAL,false", "10,1.3,NONE,false", "30,1.3,NOMINAL,false", "30,1.3,NONE,false",
+        "10,0.8,NOMINAL,true", "10,0.8,NONE,true", "10,1.3,NOMINAL,true", "10,1.3,NONE,true",
+        "30,1.3,NOMINAL,true", "30,1.3,NONE,true"})
     void mostOfWhatTheDestinationTakesIsServed(int limit, double load, RateHint hint, boolean refusalsCount) {
         Policy.ListedRoute listed = new Policy.ListedRoute("a", 1, "plain", "east", Availability.LISTED, limit);
-        SimulatedFleet fleet = new SimulatedFleet(RELAY_COUNT, 5, i -> new SimulatedRelay(settings(i, hint)).receiveFullList(listed));
+        SimulatedFleet fleet = new SimulatedFleet(RELAY_COUNT, 5,
+                i -> new SimulatedRelay(settings(i, hint)).receiveFullList(listed));
         double probability = limit * load / RELAY_COUNT * STEP_MICROS / SECOND;
         for (long now = 0; now < DURATION_MICROS; now += STEP_MICROS) {
             pendingAnswers.removeIf(this::answerIfDue);
@@ -47,14 +74,17 @@
                 long at = now;
                 SimulatedRelay relay = fleet.relays.get(i);
                 relay.advance(now - relay.now);
-                fleet.stepRelay(i, probability, (from, sent) -> handleArrival(fleet, from, sent, at, limit, refusalsCount));
+                fleet.stepRelay(i, probability,
+                        (from, sent) -> handleArrival(fleet, from, sent, at, limit, refusalsCount));
             }
         }
         double possible = Math.min(1, load) * limit * DURATION_MICROS / SECOND;
         double least = refusalsCount ? MIN_SERVED_SHARE_WHERE_REFUSALS_COUNT : MIN_SERVED_SHARE;
-        assertTrue(servedCount >= least * possible, "served " + servedCount + " of " + possible + ", refused " + refusedCount);
+        assertTrue(servedCount >= least * possible,
+                "served " + servedCount + " of " + possible + ", refused " + refusedCount);
     }
 
+    /** Delivers an answer once it is due; returns whether it did. */
     private boolean answerIfDue(PendingAnswer answer) {
         if (answer.dueAt > answer.relay.now) {
             return false;
@@ -63,7 +93,9 @@
         return true;
     }
 
-    private void handleArrival(SimulatedFleet fleet, SimulatedRelay relay, SimulatedRelay.SentAttempt sent, long now, int limit, boolean refusalsCount) {
+    /** Accepts or refuses a call that arrives at the destination. */
+    private void handleArrival(SimulatedFleet fleet, SimulatedRelay relay, SimulatedRelay.SentAttempt sent, long now,
+            int limit, boolean refusalsCount) {
         while (!countedCallTimes.isEmpty() && countedCallTimes.peek() <= now - SECOND) {
             countedCallTimes.remove();
         }
@@ -73,13 +105,18 @@
         }
         servedCount += taken ? 1 : 0;
         refusedCount += taken ? 0 : 1;
-        long wait = !taken && fleet.random.nextDouble() < RETRY_AFTER_SHARE ? countedCallTimes.peek() + SECOND - now : 0;
-        pendingAnswers.add(new PendingAnswer(relay, sent, now + (taken ? RESPONSE_TIME_MICROS : REFUSAL_TIME_MICROS), taken ? Result.OK : Result.FULL, wait));
+        long wait = !taken && fleet.random.nextDouble() < RETRY_AFTER_SHARE
+                ? countedCallTimes.peek() + SECOND - now : 0;
+        pendingAnswers.add(new PendingAnswer(relay, sent,
+                now + (taken ? RESPONSE_TIME_MICROS : REFUSAL_TIME_MICROS),
+                taken ? Result.OK : Result.FULL, wait));
     }
 
+    /** Settings of one relay of the fleet, with the given meaning of the listed rate. */
     private static Policy.Settings settings(long seed, RateHint hint) {
         Policy.Settings fleet = SimulatedRelay.fleetSettings(RELAY_COUNT, seed);
-        return new Policy.Settings(seed, 0, RELAY_COUNT, fleet.zone(), fleet.classes(), fleet.tenants(), fleet.kinds(), fleet.zones(),
-                fleet.limits(), fleet.rules(), 1, false, false, hint, 0);
+        return new Policy.Settings(seed, 0, RELAY_COUNT, fleet.zone(), fleet.classes(),
+                fleet.tenants(), fleet.kinds(), fleet.zones(), fleet.limits(),
+                fleet.rules(), 1, false, false, hint, 0);
     }
 }
--- a/src/test/java/drumdeal/FleetSlowStartTest.java
+++ b/src/test/java/drumdeal/FleetSlowStartTest.java
@@ -14,32 +14,43 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What a destination gets from thirty relays together as it returns cold from an outage: never more than the rules
- * allow in any window until it is warm, whoever has seen the outage and whoever has not.
+ * Tests that thirty relays together do not overload a destination that recovers from an outage. Until the destination
+ * has warmed up, no window may contain more calls than the rules allow, whichever relays have noticed the outage.
  */
 class FleetSlowStartTest {
     private static final int RELAY_COUNT = 30;
     private static final long STEP_MICROS = 10 * MILLISECOND;
     private static final long OUTAGE_START_MICROS = 25 * SECOND;
     private static final long OUTAGE_END_MICROS = 35 * SECOND;
+    /** Time after which a call is answered, unless it times out. */
     private static final long RESPONSE_TIME_MICROS = 150 * MILLISECOND;
-    /** Of what the destination takes when warm: what clients send in all. */
+    /** Requests of all clients, as a share of the capacity of the warm destination. */
     private static final double LOAD_RATIO = 0.9;
 
     private final Policy.ServiceRules rules = SimulatedRelay.fleetSettings(RELAY_COUNT, 0).rules();
     private final SimulatedFleet fleet = new SimulatedFleet(RELAY_COUNT, 11,
-            i -> new SimulatedRelay(SimulatedRelay.fleetSettings(RELAY_COUNT, i)).receiveFullList(route("a", 1, "plain", "east")));
+            i -> new SimulatedRelay(SimulatedRelay.fleetSettings(RELAY_COUNT, i))
+                    .receiveFullList(route("a", 1, "plain", "east")));
+    /** Send times of all relays' calls within the last collapse window. */
     private final ArrayDeque<Long> recentSendTimes = new ArrayDeque<>();
 
+    /** Result of calls during the outage, and calls in one window that the cold destination bears. */
     private static Stream<Arguments> outages() {
         return Stream.of(Result.CONNECT_FAILED, Result.TIMEOUT, Result.ERROR).flatMap(failure ->
                 Stream.of(2, 5, 10, 30, 80, 200).map(budget -> Arguments.of(failure, budget)));
     }
 
+    /**
+     * The relays share no state, so each has to limit its own calls after the outage.
+     *
+     * @param failure result of calls during the outage
+     * @param budget calls in one window that the cold destination bears
+     */
     @ParameterizedTest
     @MethodSource("outages")
     void sumOfAllRelaysStaysWithinWhatAColdDestinationBears(Result failure, int budget) {
-        double capacity = budget / (rules.collapseLoadMultiple() * rules.coldCapacityShare() * rules.collapseWindowMicros() / SECOND);
+        double capacity = budget
+                / (rules.collapseLoadMultiple() * rules.coldCapacityShare() * rules.collapseWindowMicros() / SECOND);
         String worst = "";
         double most = 0;
         for (long now = 0; now < OUTAGE_END_MICROS + rules.warmUpMicros(); now += STEP_MICROS) {
@@ -53,14 +64,20 @@
                 double allowed = allowedCalls(capacity, now);
                 if (recentSendTimes.size() / allowed > most) {
                     most = recentSendTimes.size() / allowed;
-                    worst = recentSendTimes.size() + " calls of " + allowed + ", ms after the return: " + (now - OUTAGE_END_MICROS) / MILLISECOND;
+                    worst = recentSendTimes.size() + " calls of " + allowed
+                            + ", ms after the return: " + (now - OUTAGE_END_MICROS) / MILLISECOND;
                 }
             }
         }
         assertTrue(most <= 1, worst);
     }
 
-    /** A budget is an average: twice its root and two more are put down to chance. */
+    /**
+     * Largest number of calls allowed in the window that ends now. The budget limits the average number; random
+     * variation may add twice its square root and two more calls.
+     *
+     * @param capacity calls per second that the warm destination serves
+     */
     private double allowedCalls(double capacity, long now) {
         double warm = (now - OUTAGE_END_MICROS) / (double) rules.warmUpMicros();
         double part = rules.coldCapacityShare() * (1 - warm) + warm;
@@ -68,20 +85,25 @@
         return budget + 2 * Math.sqrt(budget) + 2;
     }
 
+    /** Moves a relay to {@code now}, ends its due calls and gives it {@code rate} requests per second on average. */
     private void stepRelay(int number, long now, double rate, Result failure) {
         SimulatedRelay relay = fleet.relays.get(number);
         relay.advance(now - relay.now);
         for (SimulatedRelay.SentAttempt sent : List.copyOf(relay.unanswered)) {
             answerIfDue(relay, sent, now, failure);
         }
-        // The last relay has nothing to send until the destination is back: it has seen nothing of the outage.
+        // The last relay gets no requests before the end of the outage, so it does not notice the outage.
         boolean idle = number == RELAY_COUNT - 1 && now < OUTAGE_END_MICROS;
-        fleet.stepRelay(number, idle ? 0 : rate * STEP_MICROS / SECOND, (from, sent) -> recentSendTimes.add(sent.sentAt()));
+        fleet.stepRelay(number, idle ? 0 : rate * STEP_MICROS / SECOND,
+                (from, sent) -> recentSendTimes.add(sent.sentAt()));
     }
 
+    /** Answers a call after the response time, or with a timeout if the outage leaves it unanswered. */
     private void answerIfDue(SimulatedRelay relay, SimulatedRelay.SentAttempt sent, long now, Result failure) {
-        boolean down = sent.sentAt() >= OUTAGE_START_MICROS - RESPONSE_TIME_MICROS && sent.sentAt() < OUTAGE_END_MICROS;
+        boolean down = sent.sentAt() >= OUTAGE_START_MICROS - RESPONSE_TIME_MICROS
+                && sent.sentAt() < OUTAGE_END_MICROS;
         boolean silent = down && failure == Result.TIMEOUT;
+        // A timeout of 0 means until the deadline of the request, which is 20 s after its acceptance.
         long due = silent ? sent.timeout() == 0 ? 20 * SECOND : sent.timeout() : RESPONSE_TIME_MICROS;
         if (now - sent.sentAt() >= due) {
             relay.answer(sent.id(), down ? failure : Result.OK);
--- a/src/test/java/drumdeal/ShortDeadlineTest.java
+++ b/src/test/java/drumdeal/ShortDeadlineTest.java
@@ -15,31 +15,47 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A customer whose messages have far less time than spans that suit others. */
+/** Tests requests whose deadline is far shorter than the default timeouts of the decision module. */
 class ShortDeadlineTest {
     private static final long DEADLINE_MICROS = 1200 * MILLISECOND;
 
+    /**
+     * A relay with a request class "brief", which has 1.2 s to its deadline, and route a of destination 1.
+     *
+     * @param others further request classes
+     */
     private SimulatedRelay createRelay(Idempotency repeat, RequestClass... others) {
         Policy.Settings usual = SimulatedRelay.settings();
         List<RequestClass> classes = new ArrayList<>(List.of(others));
-        classes.add(new RequestClass("brief", repeat, KeyScope.ALL, SECOND, 400 * MILLISECOND, DEADLINE_MICROS, 1, 0.5, false));
+        classes.add(new RequestClass("brief", repeat, KeyScope.ALL, SECOND, 400 * MILLISECOND, DEADLINE_MICROS, 1,
+                0.5, false));
         return new SimulatedRelay(new Policy.Settings(usual.seed(), 0, 2, "east", classes,
-                List.of(), usual.kinds(), usual.zones(), new Policy.Limits(10, 100, 6, true, false, false, false, false, SECOND), usual.rules(), 1, false, false,
-                Policy.RateHint.NONE, 0)).receiveFullList(route("a", 1, "plain", "east"));
+                List.of(), usual.kinds(), usual.zones(),
+                new Policy.Limits(10, 100, 6, true, false, false, false, false, SECOND),
+                usual.rules(), 1, false, false, Policy.RateHint.NONE, 0))
+                .receiveFullList(route("a", 1, "plain", "east"));
     }
 
+    /** With the default timeout the first attempt would last until the deadline and leave no time for a second one. */
     @ParameterizedTest
     @EnumSource(names = "ONCE", mode = EnumSource.Mode.EXCLUDE)
     void messageThatMayBeRepeatedGoesToAnotherRouteWhileThereIsTime(Idempotency repeat) {
-        SimulatedRelay relay = createRelay(repeat).receiveFullList(route("a", 1, "plain", "east"), route("b", 1, "plain", "east"));
+        SimulatedRelay relay = createRelay(repeat)
+                .receiveFullList(route("a", 1, "plain", "east"), route("b", 1, "plain", "east"));
         relay.runRound(new Policy.RequestAccepted(1, "brief", null, "k", relay.now + DEADLINE_MICROS, 1));
         SimulatedRelay.SentAttempt silent = relay.sent.get(0);
-        assertTrue(silent.timeout() > 0 && silent.timeout() <= DEADLINE_MICROS * 3 / 4, "waits for ms: " + silent.timeout() / MILLISECOND);
+        assertTrue(silent.timeout() > 0 && silent.timeout() <= DEADLINE_MICROS * 3 / 4,
+                "waits for ms: " + silent.timeout() / MILLISECOND);
         relay.advance(silent.timeout());
         relay.answer(1, Result.TIMEOUT);
-        assertTrue(relay.sent.size() == 2 && !relay.sent.get(1).route().equals(silent.route()), relay.sent.toString());
+        assertTrue(relay.sent.size() == 2 && !relay.sent.get(1).route().equals(silent.route()),
+                relay.sent.toString());
     }
 
+    /**
+     * Moves the clock forward by {@code micros}. If {@code routeAnswers}, each attempt is answered after 100 ms,
+     * otherwise it ends with a timeout.
+     */
     private static void advanceAndAnswer(SimulatedRelay relay, long span, boolean answers) {
         for (long end = relay.now + span; relay.now < end;) {
             relay.advance(50 * MILLISECOND);
@@ -60,14 +76,19 @@
         assertCircuitOpensAndCloses(createRelay(repeat));
     }
 
-    /** Others have so much time that no test by a brief message would last as long as theirs. */
+    /**
+     * The class with the long deadline allows trials that last longer than a brief request does. If a request had to
+     * have that much time left, no trial would use a brief one and the circuit would not close.
+     */
     @ParameterizedTest
     @EnumSource(Idempotency.class)
     void routeThatGetsOnlyBriefMessagesOfAMixedLotServesAgain(Idempotency repeat) {
         assertCircuitOpensAndCloses(createRelay(repeat,
-                new RequestClass("long", Idempotency.REPEATABLE, KeyScope.ALL, 0, 2 * SECOND, 20 * SECOND, 1, 0.5, false)));
+                new RequestClass("long", Idempotency.REPEATABLE, KeyScope.ALL, 0, 2 * SECOND, 20 * SECOND, 1, 0.5,
+                        false)));
     }
 
+    /** Checks that route a gets few calls while it answers none and is back in use once it answers. */
     private static void assertCircuitOpensAndCloses(SimulatedRelay relay) {
         long id = 0;
         for (int i = 0; i < 100; i++) {
--- a/src/test/java/drumdeal/SimulatorAdapterTest.java
+++ b/src/test/java/drumdeal/SimulatorAdapterTest.java
@@ -11,17 +11,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests the conversion between the simulator's JSON lines and the events and actions of the decision module. */
 class SimulatorAdapterTest {
-    private static final String SETTINGS_JSON = "{\"me\":1,\"fleet-size\":3,\"zone\":\"x\",\"kinds\":[\"k\"],\"zones\":[\"x\"],"
+    /** Settings with a key, "later-key", that is unknown to the adapter. */
+    private static final String SETTINGS_JSON =
+            "{\"me\":1,\"fleet-size\":3,\"zone\":\"x\",\"kinds\":[\"k\"],\"zones\":[\"x\"],"
             + "\"classes\":[{\"name\":\"c\",\"repeat\":\"by_key\",\"key-scope\":\"zone\",\"goal-time-s\":1.5,"
             + "\"deadline-s\":5,\"later-key\":1}],\"family-info\":{\"call-slots\":4,\"batch-by-kind\":[5],"
             + "\"routes-apart\":[true]},\"limits\":{\"max-open\":9,\"send-cap\":3},\"contract\":{\"fall-s\":2.0},"
             + "\"fees\":{}}";
     private static final String LAUNCH_MESSAGE = "[\"launch\",9," + SETTINGS_JSON + "]";
 
+    /** Settings of the modules that were created. */
     private final List<Policy.Settings> startedSettings = new ArrayList<>();
+    /** Events that the modules received. */
     private final List<Policy.Event> receivedEvents = new ArrayList<>();
 
+    /** Processes batches, one JSON line each, and returns the replies; the modules take no action. */
     private String runBatches(String... batches) throws IOException {
         StringWriter out = new StringWriter();
         new SimulatorAdapter(settings -> {
@@ -31,6 +37,7 @@
         return out.toString();
     }
 
+    /** A batch with the messages of one instance, number 3. */
     private static String batchJson(String... messages) {
         return "{\"t-s\":2.5,\"n\":1,\"groups\":[{\"i\":3,\"in\":[" + String.join(",", messages) + "]}]}";
     }
@@ -56,7 +63,8 @@
                 "[\"discovery\",\"cached\",4,0]", "[\"job-in\",8,\"c\",null,\"ord\",9.25,null,7,1,\"later\"]",
                 "[\"outcome\",8,300,false,\"full\",0,\"h\",0.02,{\"x0\":0.5,\"x1\":2,\"other\":1}]"));
         assertEquals(new Policy.RouteListUpdate(Policy.RouteListUpdateType.CACHED, 4,
-                List.of(new Policy.ListedRoute("h", 7, "k", "x", Policy.Availability.DRAINING, 1.5))), receivedEvents.get(0));
+                List.of(new Policy.ListedRoute("h", 7, "k", "x", Policy.Availability.DRAINING, 1.5))),
+                receivedEvents.get(0));
         assertEquals(new Policy.RequestAccepted(8, "c", null, "ord", 9_250_000, 7), receivedEvents.get(1));
         assertEquals(new Policy.AttemptEnded(8, 0, "h", Policy.Result.FULL, false, 300_000, 20_000,
                 new Policy.LimitReport(0.5, 2)), receivedEvents.get(2));
@@ -72,7 +80,8 @@
 
     @Test
     void deathAndStartInOneBatchForgetTheOldLife() throws IOException {
-        runBatches(batchJson(LAUNCH_MESSAGE), batchJson("[\"reminder\",1]", "[\"detach\"]", LAUNCH_MESSAGE, "[\"reminder\",2]"));
+        runBatches(batchJson(LAUNCH_MESSAGE),
+                batchJson("[\"reminder\",1]", "[\"detach\"]", LAUNCH_MESSAGE, "[\"reminder\",2]"));
         assertEquals(2, startedSettings.size());
         assertEquals(List.of(new Policy.TimerFired(2)), receivedEvents);
     }
@@ -107,6 +116,7 @@
         assertErrorContains("callSlots", batchJson(LAUNCH_MESSAGE.replace("\"call-slots\":4", "\"call-slots\":0")));
     }
 
+    /** Checks that the adapter rejects an input with a message that contains a text. */
     private void assertErrorContains(String part, String line) {
         JsonDataException thrown = assertThrows(JsonDataException.class,
                 () -> new SimulatorAdapter(DeliveryPolicy::new).run(new StringReader(line), new StringWriter()));
