--- a/src/test/java/drumdeal/DeliveryPolicyTest.java
+++ b/src/test/java/drumdeal/DeliveryPolicyTest.java
@@ -28,29 +28,29 @@
                     route("c", 2, "apart", "east"), route("d", 3, "bulk", "east"));
 
     @Test
-    void sendsAtOnceWhenAllIsWell() {
+    void requestIsSentAtOnceWhileNothingLimitsIt() {
         relay.accept(1, "safe", 1);
         assertEquals(1, relay.countSends(1));
     }
 
     @Test
-    void firstSendsSpreadOverRoutesNearTheTop() {
+    void requestsAreSpreadOverRoutesWithSimilarScores() {
         for (int id = 0; id < 200; id++) {
             relay.accept(id, "safe", 1).advance(100 * MILLISECOND).answer(id, Result.OK);
         }
-        long onA = relay.sent.stream().filter(s -> s.route().equals("a")).count();
-        assertTrue(onA > 60 && onA < 160, "on one route: " + onA);
+        long callsToA = relay.sent.stream().filter(s -> s.route().equals("a")).count();
+        assertTrue(callsToA > 60 && callsToA < 160, "on one route: " + callsToA);
     }
 
     @Test
-    void failedRequestFallsThroughToTheOtherRoute() {
+    void failedRequestIsRetriedOnTheOtherRoute() {
         relay.accept(1, "safe", 1).advance(MILLISECOND).answer(1, Result.CONNECT_FAILED).advance(MILLISECOND);
         assertEquals(2, relay.sent.size());
         assertFalse(relay.sent.get(0).route().equals(relay.sent.get(1).route()));
     }
 
     @Test
-    void requestWithoutARouteIsHeldForAListChangeAndEndsInTime() {
+    void requestWithoutARouteWaitsForAListChangeUntilItsDeadline() {
         relay.accept(1, "safe", 9).accept(2, "safe", 8).advance(SECOND);
         assertEquals(0, relay.sent.size());
         relay.receiveListChanges(route("z", 9, "plain", "east"));
@@ -64,25 +64,25 @@
      * unless the route has served a call sent after the list became stale: such a route does not drain.
      */
     @Test
-    void routeThatMayDrainUnheardIsLeftUntilTheListComesUnlessItServes() {
-        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.settings())
+    void staleListExpiresExceptForRoutesThatServeLaterCalls() {
+        SimulatedRelay staleRelay = new SimulatedRelay(SimulatedRelay.settings())
                 .receiveFullList(route("c", 2, "apart", "east"), route("a", 1, "plain", "east"));
-        one.accept(1, "safe", 1).accept(2, "safe", 2).advance(MILLISECOND);
-        one.runRound(new Policy.RouteListStale(one.now, one.now + 4 * SECOND));
-        long due = one.now + 4 * SECOND;
-        one.answer(1, Result.OK).answer(2, Result.OK).advance(SECOND);
-        one.accept(3, "safe", 2).answer(3, Result.OK)
+        staleRelay.accept(1, "safe", 1).accept(2, "safe", 2).advance(MILLISECOND);
+        staleRelay.runRound(new Policy.RouteListStale(staleRelay.now, staleRelay.now + 4 * SECOND));
+        long expiresAt = staleRelay.now + 4 * SECOND;
+        staleRelay.answer(1, Result.OK).answer(2, Result.OK).advance(SECOND);
+        staleRelay.accept(3, "safe", 2).answer(3, Result.OK)
                 .accept(4, "safe", 2).answer(4, Result.OK).advance(4 * SECOND);
-        assertEquals(List.of(Long.MAX_VALUE, Long.MAX_VALUE, due, Long.MAX_VALUE), one.latestSendTimes);
-        one.accept(5, "safe", 1).accept(6, "safe", 2);
-        assertEquals(0, one.countSends(5), "what this route served had been sent before there was news");
-        assertEquals(1, one.countSends(6));
-        one.receiveListChanges();
-        assertEquals(1, one.countSends(5));
+        assertEquals(List.of(Long.MAX_VALUE, Long.MAX_VALUE, expiresAt, Long.MAX_VALUE), staleRelay.latestSendTimes);
+        staleRelay.accept(5, "safe", 1).accept(6, "safe", 2);
+        assertEquals(0, staleRelay.countSends(5), "what this route served had been sent before there was news");
+        assertEquals(1, staleRelay.countSends(6));
+        staleRelay.receiveListChanges();
+        assertEquals(1, staleRelay.countSends(5));
     }
 
     @Test
-    void endingModuleSendsNothingAndRefusesWhatRunsOutOfTime() {
+    void afterShutdownStartsNothingIsSentAndExpiringRequestsAreRejected() {
         relay.accept(1, "safe", 1).runRound(new Policy.ShutdownStarted()).accept(2, "once", 1);
         relay.answer(1, Result.CONNECT_FAILED).advance(19 * SECOND);
         assertEquals(1, relay.sent.size());
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void threeFailuresOpenAndOneTestCloses() {
+    void threeFailuresOpenTheCircuitAndOneSuccessfulTrialClosesIt() {
         openCircuitOfRouteC();
         relay.accept(10, "safe", 2).accept(11, "safe", 2).advance(500 * MILLISECOND);
         assertEquals(0, relay.countSends(10) + relay.countSends(11));
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void timeoutThatComesFromTheDeadlineIsNotTheRoutesFailure() {
+    void timeoutDueToAShortDeadlineDoesNotCountAsFailureOfTheRoute() {
         for (int id = 1; id <= 5; id++) {
             relay.runRound(acceptedEvent(id, 300 * MILLISECOND)).advance(300 * MILLISECOND)
                     .answer(id, Result.TIMEOUT);
@@ -113,7 +113,7 @@
 
     /** A route that is down refuses new connections. Connections that merely break must not open its circuit. */
     @Test
-    void connectionsThatBreakNowAndThenOpenNothing() {
+    void occasionalConnectionResetsDoNotOpenTheCircuit() {
         makeFrequentCalls();
         for (int id = 1; id <= 3; id++) {
             relay.accept(id, "once", 2).advance(MILLISECOND).answer(id, Result.RESET);
@@ -123,7 +123,7 @@
 
     /** A trial that times out because of its request's deadline would say nothing about the route. */
     @Test
-    void testGoesByAMessageWithTimeLeft() {
+    void trialUsesARequestWithEnoughTimeLeft() {
         openCircuitOfRouteC();
         relay.runRound(acceptedEvent(10, 2500 * MILLISECOND)).accept(11, "safe", 2).advance(6 * SECOND);
         assertEquals(0, relay.countSends(10));
@@ -131,54 +131,54 @@
     }
 
     @Test
-    void overdueCallGivesWayWhereSlotsAreWanted() {
-        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(1, 100))
+    void overdueCallIsCancelledOnlyWhenAnotherRequestNeedsItsSlot() {
+        SimulatedRelay oneSlotRelay = new SimulatedRelay(SimulatedRelay.settings(1, 100))
                 .receiveFullList(route("c", 2, "apart", "east"), route("a", 1, "plain", "east"));
-        narrow.accept(1, "once", 2).advance(10 * SECOND);
-        assertTrue(narrow.cancelled.isEmpty(), "nobody wants its slot");
-        narrow.accept(2, "safe", 1);
-        assertEquals(List.of(1L), narrow.cancelled);
+        oneSlotRelay.accept(1, "once", 2).advance(10 * SECOND);
+        assertTrue(oneSlotRelay.cancelled.isEmpty(), "nobody wants its slot");
+        oneSlotRelay.accept(2, "safe", 1);
+        assertEquals(List.of(1L), oneSlotRelay.cancelled);
     }
 
     /** Under overload, sending the oldest request first each time would deliver all of them late. */
     @Test
-    void newestGoesFirstWhereMessagesRunOutOfTime() {
-        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(1, 100))
+    void newestRequestGoesFirstWhileRequestsExpire() {
+        SimulatedRelay oneSlotRelay = new SimulatedRelay(SimulatedRelay.settings(1, 100))
                 .receiveFullList(route("a", 1, "plain", "east"));
         for (int id = 1; id <= 30; id++) {
-            narrow.accept(id, "once", 1);
+            oneSlotRelay.accept(id, "once", 1);
         }
-        while (narrow.now < 18 * SECOND) {
-            narrow.advance(2 * SECOND).answer(narrow.unanswered.get(0).id(), Result.OK);
+        while (oneSlotRelay.now < 18 * SECOND) {
+            oneSlotRelay.advance(2 * SECOND).answer(oneSlotRelay.unanswered.get(0).id(), Result.OK);
         }
-        narrow.accept(40, "once", 1).advance(3 * SECOND).accept(41, "once", 1);
-        assertTrue(narrow.refused.size() > 10, "so many ran out of time: " + narrow.refused.size());
-        narrow.answer(narrow.unanswered.get(0).id(), Result.OK);
-        assertEquals(1, narrow.countSends(41));
-        assertEquals(0, narrow.countSends(40));
+        oneSlotRelay.accept(40, "once", 1).advance(3 * SECOND).accept(41, "once", 1);
+        assertTrue(oneSlotRelay.refused.size() > 10, "so many ran out of time: " + oneSlotRelay.refused.size());
+        oneSlotRelay.answer(oneSlotRelay.unanswered.get(0).id(), Result.OK);
+        assertEquals(1, oneSlotRelay.countSends(41));
+        assertEquals(0, oneSlotRelay.countSends(40));
     }
 
     /**
      * Memory must not grow with each route that was ever listed, for example when deployments replace all endpoints.
      */
     @Test
-    void routesOfManyGenerationsAreForgotten() throws ReflectiveOperationException {
+    void routesThatLeftTheListAreForgotten() throws ReflectiveOperationException {
         for (int i = 0; i < 1000; i++) {
-            String apart = "apart" + i;
-            relay.receiveFullList(route("plain" + i, 1, "plain", "east"), route(apart, 2, "apart", "east"));
+            String ownLimitRoute = "apart" + i;
+            relay.receiveFullList(route("plain" + i, 1, "plain", "east"), route(ownLimitRoute, 2, "apart", "east"));
             relay.accept(i, "safe", 2).advance(100 * MILLISECOND);
-            relay.receiveListChanges(new ListedRoute(apart, 2, "apart", "east", Availability.REMOVED, 0));
+            relay.receiveListChanges(new ListedRoute(ownLimitRoute, 2, "apart", "east", Availability.REMOVED, 0));
             while (!relay.unanswered.isEmpty()) {
                 relay.answer(relay.unanswered.get(0).id(), i % 2 == 0 ? Result.OK : Result.ERROR);
             }
             relay.advance(100 * MILLISECOND);
         }
         relay.receiveFullList();
-        for (String name : List.of("routes", "groups")) {
-            java.lang.reflect.Field field = DeliveryPolicy.class.getDeclaredField(name);
+        for (String fieldName : List.of("routes", "groups")) {
+            java.lang.reflect.Field field = DeliveryPolicy.class.getDeclaredField(fieldName);
             field.setAccessible(true);
-            int left = ((java.util.Map<?, ?>) field.get(relay.module())).size();
-            assertTrue(left < 5, name + " left: " + left);
+            int remaining = ((java.util.Map<?, ?>) field.get(relay.module())).size();
+            assertTrue(remaining < 5, fieldName + " left: " + remaining);
         }
     }
 
@@ -187,19 +187,19 @@
      * would not be retried.
      */
     @Test
-    void routeThatIsGoneStillAnswers() {
+    void failureOnAnUnlistedRouteIsHandledAndTheRequestRetried() {
         relay.accept(1, "safe", 2).advance(MILLISECOND).receiveFullList();
         relay.answer(1, Result.ERROR).receiveFullList(route("c", 2, "apart", "east")).advance(4 * SECOND);
         assertEquals(2, relay.countSends(1));
     }
 
     /** The event for a request of class "safe" to destination 2, whose deadline is {@code timeLeft} from now. */
-    private Policy.RequestAccepted acceptedEvent(long id, long left) {
-        return new Policy.RequestAccepted(id, "safe", null, null, relay.now + left, 2);
+    private Policy.RequestAccepted acceptedEvent(long id, long timeLeft) {
+        return new Policy.RequestAccepted(id, "safe", null, null, relay.now + timeLeft, 2);
     }
 
     @Test
-    void oneFailureOpensWhereCallsAreRare() {
+    void oneFailureOpensTheCircuitOfARarelyCalledRoute() {
         relay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.CONNECT_FAILED)
                 .accept(2, "safe", 2).advance(SECOND);
         assertEquals(List.of("out: c"), relay.logLines);
@@ -207,7 +207,7 @@
     }
 
     @Test
-    void oneErrorAmongManyServesOpensNothing() {
+    void oneErrorAmongManySuccessesDoesNotOpenTheCircuit() {
         makeFrequentCalls();
         relay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.ERROR).advance(MILLISECOND);
         assertTrue(relay.logLines.isEmpty());
@@ -219,29 +219,29 @@
      * destination collapse.
      */
     @Test
-    void testsOfAFleetStayFarUnderWhatItsCallsWouldBe() {
-        int tests = 0;
+    void fleetSendsFewTrialsToAFailedDestination() {
+        int trials = 0;
         for (int seed = 0; seed < 100; seed++) {
-            SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, seed))
+            SimulatedRelay fleetRelay = new SimulatedRelay(SimulatedRelay.fleetSettings(100, seed))
                     .receiveFullList(route("c", 2, "apart", "east"));
-            one.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.CONNECT_FAILED)
+            fleetRelay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.CONNECT_FAILED)
                     .advance(10 * SECOND);
-            tests += one.sent.size() - 1;
+            trials += fleetRelay.sent.size() - 1;
         }
-        assertTrue(tests < 50, "tests of 100 relays in ten seconds: " + tests);
+        assertTrue(trials < 50, "tests of 100 relays in ten seconds: " + trials);
     }
 
     /** Relays that are refused at the same time and retry at the same time would exceed the limit again. */
     @Test
-    void refusedMessagesOfAFleetComeBackSpread() {
-        int soon = 0;
+    void refusedRequestsOfAFleetAreRetriedAtDifferentTimes() {
+        int retries = 0;
         for (int seed = 0; seed < 100; seed++) {
-            SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, seed))
+            SimulatedRelay fleetRelay = new SimulatedRelay(SimulatedRelay.fleetSettings(100, seed))
                     .receiveFullList(route("c", 2, "apart", "east"));
-            one.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.FULL).advance(7 * SECOND);
-            soon += one.sent.size() - 1;
+            fleetRelay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.FULL).advance(7 * SECOND);
+            retries += fleetRelay.sent.size() - 1;
         }
-        assertTrue(soon > 20 && soon < 80, "back within seven seconds: " + soon);
+        assertTrue(retries > 20 && retries < 80, "back within seven seconds: " + retries);
     }
 
     /**
@@ -249,13 +249,13 @@
      * limit.
      */
     @Test
-    void relayOfALargeFleetThatCallsSeldomGoesSlowerAfterItsFirstRefusal() {
-        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, 7))
+    void firstRefusalSlowsARelayThatCallsRarelyInALargeFleet() {
+        SimulatedRelay fleetRelay = new SimulatedRelay(SimulatedRelay.fleetSettings(100, 7))
                 .receiveFullList(route("c", 2, "apart", "east")).advance(40 * SECOND);
-        one.accept(1, "safe", 2).advance(SECOND / 2).answer(1, Result.FULL).advance(8 * SECOND);
-        assertEquals(1, one.sent.size(), "one call in ten seconds was too many");
-        one.advance(20 * SECOND);
-        assertEquals(2, one.sent.size());
+        fleetRelay.accept(1, "safe", 2).advance(SECOND / 2).answer(1, Result.FULL).advance(8 * SECOND);
+        assertEquals(1, fleetRelay.sent.size(), "one call in ten seconds was too many");
+        fleetRelay.advance(20 * SECOND);
+        assertEquals(2, fleetRelay.sent.size());
     }
 
     /**
@@ -263,43 +263,43 @@
      * again and again.
      */
     @Test
-    void oneServeAfterALongRestAloneRaisesThePaceOnlyALittle() {
-        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(100, 7))
+    void oneServedCallAfterALongPauseRaisesThePacingRateOnlyALittle() {
+        SimulatedRelay fleetRelay = new SimulatedRelay(SimulatedRelay.fleetSettings(100, 7))
                 .receiveFullList(route("c", 2, "apart", "east"));
         for (int id = 1; id <= 10; id++) {
-            one.accept(id, "safe", 2).advance(SECOND).answer(id, Result.OK);
+            fleetRelay.accept(id, "safe", 2).advance(SECOND).answer(id, Result.OK);
         }
-        one.accept(100, "safe", 2).advance(SECOND).answer(100, Result.FULL);
+        fleetRelay.accept(100, "safe", 2).advance(SECOND).answer(100, Result.FULL);
         for (int id = 101; id <= 110; id++) {
-            one.runRound(new Policy.RequestAccepted(id, "safe", null, null, one.now + 300 * SECOND, 2));
+            fleetRelay.runRound(new Policy.RequestAccepted(id, "safe", null, null, fleetRelay.now + 300 * SECOND, 2));
         }
-        one.sent.clear();
-        for (int serves = 0; serves < 8;) {
-            one.advance(100 * MILLISECOND);
-            serves += one.unanswered.size();
-            List.copyOf(one.unanswered).forEach(sent -> one.answer(sent.id(), Result.OK));
+        fleetRelay.sent.clear();
+        for (int served = 0; served < 8;) {
+            fleetRelay.advance(100 * MILLISECOND);
+            served += fleetRelay.unanswered.size();
+            List.copyOf(fleetRelay.unanswered).forEach(sent -> fleetRelay.answer(sent.id(), Result.OK));
         }
-        for (int i = 2; i < one.sent.size(); i++) {
-            double gap = one.sent.get(i).sentAt() - one.sent.get(i - 1).sentAt();
-            double before = one.sent.get(i - 1).sentAt() - one.sent.get(i - 2).sentAt();
-            assertTrue(before / gap < 1.4,
-                    "from one call in " + before + " us to one in " + gap);
+        for (int i = 2; i < fleetRelay.sent.size(); i++) {
+            double interval = fleetRelay.sent.get(i).sentAt() - fleetRelay.sent.get(i - 1).sentAt();
+            double previousInterval = fleetRelay.sent.get(i - 1).sentAt() - fleetRelay.sent.get(i - 2).sentAt();
+            assertTrue(previousInterval / interval < 1.4,
+                    "from one call in " + previousInterval + " us to one in " + interval);
         }
     }
 
     @Test
-    void paceIsCutByRefusalsAndRegrowsWhileServed() {
+    void refusalsCutThePacingRateAndServedCallsRaiseItAgain() {
         for (int i = 0; i < 4; i++) {
             relay.accept(i, "safe", 2).advance(MILLISECOND).answer(i, Result.FULL)
                     .advance(8 * SECOND).answer(i, Result.OK);
         }
-        long cut = measureSendSpacing(5);
+        long intervalAfterCut = measureSendSpacing(5);
         for (int id = 10; id < 40; id++) {
             relay.accept(id, "safe", 2).advance(3 * SECOND).answer(id, Result.OK);
         }
-        long regrown = measureSendSpacing(50);
-        assertTrue(cut > 100 * MILLISECOND && regrown < cut / 2,
-                "cut " + cut + ", regrown " + regrown);
+        long intervalAfterGrowth = measureSendSpacing(50);
+        assertTrue(intervalAfterCut > 100 * MILLISECOND && intervalAfterGrowth < intervalAfterCut / 2,
+                "cut " + intervalAfterCut + ", regrown " + intervalAfterGrowth);
     }
 
     /** Sends two requests, {@code id} and the next one, and returns the microseconds between their sends. */
@@ -315,25 +315,25 @@
      * the pacing rate after the cut would be far too low.
      */
     @Test
-    void youngRelayCutsItsPaceByWhatItWasServedNotByTenSeconds() {
+    void newRelayCutsItsPacingRateByTheRateSinceItsStart() {
         for (int id = 1; id <= 30; id++) {
             relay.accept(id, "safe", 2).advance(50 * MILLISECOND).answer(id, Result.OK);
         }
         relay.accept(40, "safe", 2).advance(50 * MILLISECOND).answer(40, Result.FULL).advance(2 * SECOND);
-        int before = relay.sent.size();
+        int sentBefore = relay.sent.size();
         for (int id = 50; id <= 80; id++) {
             relay.accept(id, "safe", 2).advance(50 * MILLISECOND);
             while (!relay.unanswered.isEmpty()) {
                 relay.answer(relay.unanswered.get(0).id(), Result.OK);
             }
         }
-        int sent = relay.sent.size() - before;
-        assertTrue(sent > 6,
-                "twenty a second were served, sent after the cut: " + sent + " in 1.5 s");
+        int sentAfterCut = relay.sent.size() - sentBefore;
+        assertTrue(sentAfterCut > 6,
+                "twenty a second were served, sent after the cut: " + sentAfterCut + " in 1.5 s");
     }
 
     @Test
-    void youngRelayThatCallsOftenOpensNothingAtOneFailure() {
+    void newRelayThatCallsOftenDoesNotOpenTheCircuitAfterOneFailure() {
         relay.accept(1, "safe", 2).advance(50 * MILLISECOND).answer(1, Result.OK);
         relay.accept(2, "safe", 2).advance(50 * MILLISECOND).answer(2, Result.OK);
         relay.accept(3, "safe", 2).advance(50 * MILLISECOND).answer(3, Result.ERROR);
@@ -341,7 +341,7 @@
     }
 
     @Test
-    void failedTestReopens() {
+    void failedTrialReopensTheCircuit() {
         openCircuitOfRouteC();
         relay.accept(10, "safe", 2).advance(6 * SECOND).answer(10, Result.CONNECT_FAILED).advance(SECOND);
         assertEquals(1, relay.countSends(10));
@@ -352,24 +352,24 @@
      * collapse again.
      */
     @Test
-    void releaseStaysWithinTheBudgetOfTheRule() {
+    void callsAfterRecoveryStayWithinTheSlowStartBudget() {
         relay.advance(10 * SECOND); // the whole span over which the rate of calls is averaged
         openCircuitOfRouteC();
         for (int id = 10; id < 60; id++) {
             relay.accept(id, "safe", 2);
         }
         relay.advance(6 * SECOND).answer(relay.unanswered.get(0).id(), Result.OK);
-        int before = relay.sent.size();
+        int sentBefore = relay.sent.size();
         for (int i = 0; i < 20; i++) {
             relay.advance(100 * MILLISECOND);
             List.copyOf(relay.unanswered).forEach(s -> relay.answer(s.id(), Result.OK));
         }
-        assertTrue(relay.sent.size() - before <= 2,
-                "sent on release: " + (relay.sent.size() - before));
+        assertTrue(relay.sent.size() - sentBefore <= 2,
+                "sent on release: " + (relay.sent.size() - sentBefore));
     }
 
     @Test
-    void testsPreferWhatLosesLeast() {
+    void trialPrefersARepeatableRequest() {
         openCircuitOfRouteC();
         relay.accept(10, "once", 2).accept(11, "safe", 2).advance(6 * SECOND);
         assertEquals(0, relay.countSends(10));
@@ -378,7 +378,7 @@
     }
 
     @Test
-    void onceAloneIsTestedByProbe() {
+    void probeReplacesTheTrialIfOnlyOnceRequestsWait() {
         openCircuitOfRouteC();
         relay.accept(10, "once", 2).advance(6 * SECOND);
         assertEquals(List.of("c"), relay.probedRoutes);
@@ -386,7 +386,7 @@
     }
 
     @Test
-    void silenceOpensBeforeThreeTimeouts() {
+    void unansweredCallsOpenTheCircuitBeforeThreeTimeouts() {
         for (int id = 0; id < 4; id++) {
             relay.accept(id, "once", 2).advance(100 * MILLISECOND);
         }
@@ -400,7 +400,7 @@
      * capacity, so the circuit has to open.
      */
     @Test
-    void refusalsWithoutAServeOpenAsShut() {
+    void refusalsWithoutAnyServedCallOpenTheCircuit() {
         relay.accept(1, "safe", 2);
         for (int i = 0; i < 3; i++) {
             relay.answer(1, Result.FULL).advance(1500 * MILLISECOND);
@@ -409,7 +409,7 @@
     }
 
     @Test
-    void refusalCutsThePaceNotTheCircuit() {
+    void oneRefusalCutsThePacingRateWithoutOpeningTheCircuit() {
         relay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.FULL);
         relay.accept(2, "safe", 2).advance(300 * MILLISECOND);
         assertEquals(1, relay.sent.size());
@@ -419,7 +419,7 @@
     }
 
     @Test
-    void toldWaitHoldsTheWholeSharedGroup() {
+    void retryAfterAppliesToAllRoutesThatShareALimit() {
         relay.accept(1, "safe", 1).advance(MILLISECOND).answer(1, Result.FULL, 2 * SECOND)
                 .accept(2, "safe", 1).advance(1999 * MILLISECOND);
         assertEquals(1, relay.sent.size());
@@ -427,7 +427,7 @@
 
     /** A call may carry several requests, and only a later one of them may be answered with a retry-after time. */
     @Test
-    void waitToldToALaterRequestOfOneCallIsHeeded() {
+    void retryAfterOfAnyRequestInABatchIsHonoured() {
         relay.accept(1, "safe", 3).advance(MILLISECOND).answer(1, Result.FULL);
         relay.accept(2, "safe", 3).accept(3, "safe", 3).advance(1100 * MILLISECOND);
         assertEquals(4, relay.sent.size(), "three in one call");
@@ -436,14 +436,14 @@
     }
 
     @Test
-    void onceThatMayHaveRunFails() {
+    void onceRequestThatMayHaveTakenEffectFails() {
         relay.accept(1, "once", 1).advance(MILLISECOND).answer(1, Result.ERROR);
         assertEquals(List.of(1L), relay.failed);
         assertEquals(1, relay.countSends(1));
     }
 
     @Test
-    void keyedMessageThatMayHaveRunEndsAsItsWindowPasses() {
+    void keyedRequestThatMayHaveTakenEffectFailsWhenItsDedupWindowEnds() {
         relay.accept(1, "keyed", 2).receiveFullList(route("a", 1, "plain", "east")).answer(1, Result.RESET);
         relay.advance(5_900 * MILLISECOND);
         assertEquals(List.of(), relay.failed);
@@ -453,22 +453,22 @@
     }
 
     @Test
-    void keyedRepeatStaysInItsZoneAndWindow() {
+    void retryOfAKeyedRequestStaysInItsZoneAndDedupWindow() {
         for (int id = 1_000; id < 1_016; id++) {
             relay.accept(id, "safe", 1).advance(MILLISECOND).answer(id, Result.OK);
         }
         relay.sent.clear();
         relay.accept(1, "keyed", 1).advance(MILLISECOND);
-        String first = relay.sent.get(0).route();
+        String firstRoute = relay.sent.get(0).route();
         relay.answer(1, Result.RESET).advance(100 * MILLISECOND);
         assertEquals(2, relay.countSends(1));
-        assertEquals(first, relay.sent.get(1).route());
+        assertEquals(firstRoute, relay.sent.get(1).route());
         relay.advance(7 * SECOND).answer(1, Result.RESET).advance(SECOND);
         assertEquals(2, relay.countSends(1));
     }
 
     @Test
-    void nothingGoesToDrainingRemovedOrMissingRoutes() {
+    void nothingIsSentToDrainingRemovedOrUnlistedRoutes() {
         relay.receiveListChanges(new ListedRoute("a", 1, "plain", "east", Availability.DRAINING, 0),
                 new ListedRoute("b", 1, "plain", "west", Availability.REMOVED, 0));
         relay.receiveFullList(route("a2", 5, "plain", "east"));
@@ -477,7 +477,7 @@
     }
 
     @Test
-    void keysGoOneByOneAndRestAfterATimeout() {
+    void requestsOfOneKeyGoOneAtATimeAndPauseAfterATimeout() {
         relay.accept(1, "ordered", 1, "k").accept(2, "ordered", 1, "k").advance(SECOND);
         assertEquals(0, relay.countSends(2));
         relay.answer(1, Result.TIMEOUT).advance(10 * MILLISECOND)
@@ -489,15 +489,15 @@
 
     /** If the buffer stayed full, the relay would have to reject new requests unseen, however valuable they are. */
     @Test
-    void fullBufferRefusesTheLeastWorthThatMayBeRefused() {
-        SimulatedRelay small = new SimulatedRelay(SimulatedRelay.settings(4, 3))
+    void fullBufferRejectsOneRequest() {
+        SimulatedRelay smallRelay = new SimulatedRelay(SimulatedRelay.settings(4, 3))
                 .receiveFullList(route("c", 2, "apart", "east"));
-        small.accept(1, "safe", 7).accept(2, "safe", 7).accept(3, "safe", 7);
-        assertEquals(1, small.refused.size());
+        smallRelay.accept(1, "safe", 7).accept(2, "safe", 7).accept(3, "safe", 7);
+        assertEquals(1, smallRelay.refused.size());
     }
 
     @Test
-    void noDestinationTakesEverySlot() {
+    void noDestinationOccupiesEveryCallSlot() {
         for (int id = 0; id < 10; id++) {
             relay.accept(id, "safe", 1);
         }
@@ -507,7 +507,7 @@
     }
 
     @Test
-    void mostCallsFailingOpensThoughNoneInARowDo() {
+    void highErrorRateOpensTheCircuitWithoutThreeFailuresInARow() {
         makeFrequentCalls();
         for (int id = 1; id < 30 && relay.logLines.isEmpty(); id++) {
             relay.accept(id, "safe", 2).advance(MILLISECOND);
@@ -517,116 +517,116 @@
     }
 
     @Test
-    void nearRoutesAreTakenMoreOftenButNotAlone() {
+    void routesInTheOwnZoneAreChosenMoreOftenButNotExclusively() {
         for (int id = 0; id < 400; id++) {
             relay.accept(id, "safe", 1).advance(10 * MILLISECOND).answer(id, Result.OK);
         }
-        long near = relay.sent.stream().filter(s -> s.route().equals("a")).count();
-        assertTrue(near > 200 && near < 260,
-                "near: " + near);
+        long callsInOwnZone = relay.sent.stream().filter(s -> s.route().equals("a")).count();
+        assertTrue(callsInOwnZone > 200 && callsInOwnZone < 260,
+                "near: " + callsInOwnZone);
     }
 
     /** Slow routes would occupy slots in which fast ones could serve several calls. */
     @Test
-    void quickRoutesAreDrawnMoreOftenWhileSlotsAreScarce() {
-        SimulatedRelay busy = new SimulatedRelay(SimulatedRelay.settings(10, 1000))
+    void fastRoutesAreChosenMoreOftenWhileCallSlotsAreScarce() {
+        SimulatedRelay busyRelay = new SimulatedRelay(SimulatedRelay.settings(10, 1000))
                 .receiveFullList(route("a", 1, "plain", "east"), route("b", 1, "plain", "west"),
                         route("e", 4, "plain", "east"), route("f", 5, "plain", "east"),
                         route("g", 6, "plain", "east"), route("h", 7, "plain", "east"));
-        long[] even = countCallsPerRoute(busy, 0);
+        long[] withFreeSlots = countCallsPerRoute(busyRelay, 0);
         for (int destination = 4; destination <= 7; destination++) {
-            busy.accept(2 * destination, "once", destination).accept(2 * destination + 1, "once", destination);
+            busyRelay.accept(2 * destination, "once", destination).accept(2 * destination + 1, "once", destination);
         }
-        long[] scarce = countCallsPerRoute(busy, 1000);
-        assertTrue(even[1] * 3 > even[0],
-                "drawn by score: " + even[0] + " to " + even[1]);
-        assertTrue(scarce[1] * 3 < scarce[0],
-                "by score over time: " + scarce[0] + " to " + scarce[1]);
+        long[] withScarceSlots = countCallsPerRoute(busyRelay, 1000);
+        assertTrue(withFreeSlots[1] * 3 > withFreeSlots[0],
+                "drawn by score: " + withFreeSlots[0] + " to " + withFreeSlots[1]);
+        assertTrue(withScarceSlots[1] * 3 < withScarceSlots[0],
+                "by score over time: " + withScarceSlots[0] + " to " + withScarceSlots[1]);
     }
 
     /**
      * Accepts 200 requests within two seconds and returns the numbers of calls to routes a and b. Route a answers
      * after 20 ms, route b after 200 ms.
      */
-    private static long[] countCallsPerRoute(SimulatedRelay one, int firstId) {
-        one.sent.clear();
+    private static long[] countCallsPerRoute(SimulatedRelay simulated, int firstId) {
+        simulated.sent.clear();
         for (int id = firstId + 100; id < firstId + 300; id++) {
-            one.accept(id, "safe", 1).advance(10 * MILLISECOND);
-            answerOlderThan(one, "a", 20 * MILLISECOND);
-            answerOlderThan(one, "b", 200 * MILLISECOND);
+            simulated.accept(id, "safe", 1).advance(10 * MILLISECOND);
+            answerOlderThan(simulated, "a", 20 * MILLISECOND);
+            answerOlderThan(simulated, "b", 200 * MILLISECOND);
         }
-        return new long[] {one.sent.stream().filter(s -> s.route().equals("a")).count(),
-            one.sent.stream().filter(s -> s.route().equals("b")).count()};
+        return new long[] {simulated.sent.stream().filter(s -> s.route().equals("a")).count(),
+            simulated.sent.stream().filter(s -> s.route().equals("b")).count()};
     }
 
     /** Answers the calls to a route that have been in flight for {@code minAge} microseconds or longer. */
-    private static void answerOlderThan(SimulatedRelay one, String route, long age) {
-        List.copyOf(one.unanswered).stream()
-                .filter(s -> s.route().equals(route) && one.now - s.sentAt() >= age)
-                .forEach(s -> one.answer(s.id(), Result.OK));
+    private static void answerOlderThan(SimulatedRelay simulated, String route, long minAge) {
+        List.copyOf(simulated.unanswered).stream()
+                .filter(s -> s.route().equals(route) && simulated.now - s.sentAt() >= minAge)
+                .forEach(s -> simulated.answer(s.id(), Result.OK));
     }
 
     @Test
-    void whatLosesMostByWaitingGoesFirst() {
-        SimulatedRelay one = new SimulatedRelay(SimulatedRelay.settings(1, 100))
+    void requestThatLosesMostValueByWaitingGoesFirst() {
+        SimulatedRelay oneSlotRelay = new SimulatedRelay(SimulatedRelay.settings(1, 100))
                 .receiveFullList(route("a", 1, "plain", "east"));
-        one.accept(1, "safe", 1).accept(2, "safe", 1).advance(SECOND)
+        oneSlotRelay.accept(1, "safe", 1).accept(2, "safe", 1).advance(SECOND)
                 .accept(3, "quick", 1).answer(1, Result.OK);
-        assertEquals(3, one.sent.get(1).id());
+        assertEquals(3, oneSlotRelay.sent.get(1).id());
     }
 
     @Test
-    void refusalIsToldToTheKeeperOfTheDestination() {
-        SimulatedRelay peer = createRelayWithPeer();
-        peer.accept(1, "safe", 1).advance(MILLISECOND).answer(1, Result.FULL);
-        assertEquals(List.of("1:" + noteHex(PeerNoteType.CALL_REFUSED)), peer.sentNotes);
+    void refusalIsReportedToTheCoordinatorOfTheLimitGroup() {
+        SimulatedRelay fleetRelay = createRelayWithPeer();
+        fleetRelay.accept(1, "safe", 1).advance(MILLISECOND).answer(1, Result.FULL);
+        assertEquals(List.of("1:" + noteHex(PeerNoteType.CALL_REFUSED)), fleetRelay.sentNotes);
     }
 
     @Test
-    void guardedDestinationIsCalledByTurns() {
-        SimulatedRelay peer = createRelayWithPeer();
-        peer.runRound(receivedNote(PeerNoteType.COORDINATION_START))
+    void coordinatedDestinationIsCalledOnlyWithAToken() {
+        SimulatedRelay fleetRelay = createRelayWithPeer();
+        fleetRelay.runRound(receivedNote(PeerNoteType.COORDINATION_START))
                 .accept(1, "safe", 1).accept(2, "safe", 1).advance(SECOND);
-        assertEquals(0, peer.sent.size());
-        peer.runRound(receivedNote(PeerNoteType.TOKEN_GRANT));
-        assertEquals(1, peer.sent.size());
+        assertEquals(0, fleetRelay.sent.size());
+        fleetRelay.runRound(receivedNote(PeerNoteType.TOKEN_GRANT));
+        assertEquals(1, fleetRelay.sent.size());
         assertEquals(
                 List.of("1:" + noteHex(PeerNoteType.TOKEN_REQUEST), "1:" + noteHex(PeerNoteType.TOKEN_REQUEST)),
-                peer.sentNotes);
+                fleetRelay.sentNotes);
     }
 
     @Test
-    void lostTurnCostsAFewSecondsOnly() {
-        SimulatedRelay peer = createRelayWithPeer();
-        peer.runRound(receivedNote(PeerNoteType.COORDINATION_START)).accept(1, "safe", 1).advance(9 * SECOND);
-        assertEquals(1, peer.sent.size());
+    void lostTokenDelaysCallsByAFewSecondsOnly() {
+        SimulatedRelay fleetRelay = createRelayWithPeer();
+        fleetRelay.runRound(receivedNote(PeerNoteType.COORDINATION_START)).accept(1, "safe", 1).advance(9 * SECOND);
+        assertEquals(1, fleetRelay.sent.size());
     }
 
     @Test
-    void keeperGivesTurnsOneAtATime() {
-        SimulatedRelay keeper = createRelayWithPeer();
-        for (int from = 1; from <= 60; from++) {
-            keeper.runRound(new Policy.PeerNote(from, noteBytes(PeerNoteType.CALL_REFUSED, 2)));
+    void coordinatorSpreadsItsTokensOverTime() {
+        SimulatedRelay coordinator = createRelayWithPeer();
+        for (int peer = 1; peer <= 60; peer++) {
+            coordinator.runRound(new Policy.PeerNote(peer, noteBytes(PeerNoteType.CALL_REFUSED, 2)));
         }
-        keeper.advance(5 * SECOND);
-        long turns = keeper.sentNotes.stream()
-                .filter(t -> t.endsWith(HexFormat.of().formatHex(noteBytes(PeerNoteType.TOKEN_GRANT, 2))))
+        coordinator.advance(5 * SECOND);
+        long grants = coordinator.sentNotes.stream()
+                .filter(note -> note.endsWith(HexFormat.of().formatHex(noteBytes(PeerNoteType.TOKEN_GRANT, 2))))
                 .count();
-        assertTrue(turns >= 5 && turns <= 20, "turns in five seconds: " + turns);
+        assertTrue(grants >= 5 && grants <= 20, "turns in five seconds: " + grants);
     }
 
     @Test
-    void garbageInNotesDoesNoHarm() {
-        SimulatedRelay peer = createRelayWithPeer();
-        peer.runRound(new Policy.PeerNote(1, new byte[0]), new Policy.PeerNote(1, new byte[] {9, 0, 0, 0, 1}),
+    void malformedPeerNotesAreIgnored() {
+        SimulatedRelay fleetRelay = createRelayWithPeer();
+        fleetRelay.runRound(new Policy.PeerNote(1, new byte[0]), new Policy.PeerNote(1, new byte[] {9, 0, 0, 0, 1}),
                 new Policy.PeerNote(1, new byte[] {-1, 0, 0, 0, 1}), new Policy.PeerNote(1, new byte[256]));
-        peer.accept(1, "safe", 1);
-        assertEquals(1, peer.countSends(1));
+        fleetRelay.accept(1, "safe", 1);
+        assertEquals(1, fleetRelay.countSends(1));
     }
 
     /** A reported limit of 0, taken literally, would stop all calls to the destination. */
     @Test
-    void reportedLimitOfNothingIsNoLimit() {
+    void reportedLimitOfZeroIsIgnored() {
         relay.accept(1, "safe", 2).advance(MILLISECOND);
         relay.runRound(new Policy.AttemptEnded(1, 0, "c", Result.FULL, false, 0, MILLISECOND,
                 new Policy.LimitReport(0, 0)));
@@ -646,12 +646,12 @@
     }
 
     @Test
-    void aRelayAloneAndOneOfFourHundredServe() {
+    void singleRelayAndRelayOfFourHundredSendAtOnce() {
         for (int size : new int[] {1, 400}) {
-            SimulatedRelay one = new SimulatedRelay(SimulatedRelay.fleetSettings(size, 3))
+            SimulatedRelay fleetRelay = new SimulatedRelay(SimulatedRelay.fleetSettings(size, 3))
                     .receiveFullList(route("c", 2, "apart", "east"));
-            one.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.OK);
-            assertEquals(1, one.countSends(1));
+            fleetRelay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.OK);
+            assertEquals(1, fleetRelay.countSends(1));
         }
     }
 
@@ -662,34 +662,34 @@
     }
 
     /** A note from the other relay about destination 1. */
-    private static Policy.PeerNote receivedNote(PeerNoteType word) {
-        return new Policy.PeerNote(1, noteBytes(word, 1));
+    private static Policy.PeerNote receivedNote(PeerNoteType type) {
+        return new Policy.PeerNote(1, noteBytes(type, 1));
     }
 
     /** The bytes of a note about destination 1, as {@link SimulatedRelay#sentNotes} contains them. */
-    private static String noteHex(PeerNoteType word) {
-        return HexFormat.of().formatHex(noteBytes(word, 1));
+    private static String noteHex(PeerNoteType type) {
+        return HexFormat.of().formatHex(noteBytes(type, 1));
     }
 
     /** A note as relays send it: the position of its type in one byte, then the number of the limit group. */
-    private static byte[] noteBytes(PeerNoteType word, int number) {
-        return ByteBuffer.allocate(5).put((byte) word.ordinal()).putInt(number).array();
+    private static byte[] noteBytes(PeerNoteType type, int groupNumber) {
+        return ByteBuffer.allocate(5).put((byte) type.ordinal()).putInt(groupNumber).array();
     }
 
     @Test
-    void asksForTheListAtOnceAndAgainAfterEachFailureInTime() {
-        SimulatedRelay asking = new SimulatedRelay(SimulatedRelay.settings(4, 10, true)).receiveFullList();
-        assertEquals(List.of(0L), asking.subscribedAt);
+    void relaySubscribesToTheListAtOnceAndAgainSoonAfterEachFailure() {
+        SimulatedRelay subscriber = new SimulatedRelay(SimulatedRelay.settings(4, 10, true)).receiveFullList();
+        assertEquals(List.of(0L), subscriber.subscribedAt);
         for (int failure = 1; failure <= 5; failure++) {
-            asking.runRound(new Policy.RouteListUpdate(Policy.RouteListUpdateType.FAILED, 0, List.of()))
+            subscriber.runRound(new Policy.RouteListUpdate(Policy.RouteListUpdateType.FAILED, 0, List.of()))
                     .advance(10 * SECOND);
-            assertEquals(failure + 1, asking.subscribedAt.size(),
+            assertEquals(failure + 1, subscriber.subscribedAt.size(),
                     "asked within the rule's span");
         }
     }
 
     @Test
-    void settingsWithoutSenseNameTheField() {
+    void errorForInvalidSettingsNamesTheField() {
         var thrown = assertThrows(IllegalArgumentException.class, () -> SimulatedRelay.settings(0, 5));
         assertTrue(thrown.getMessage().contains("callSlots"));
     }
@@ -712,27 +712,27 @@
     }
 
     /** Resumes a request to destination 1 after a restart, with its earlier attempts and 15 s to its deadline. */
-    private void resume(long id, String type, Policy.PastAttempt... past) {
+    private void resume(long id, String requestClassName, Policy.PastAttempt... attempts) {
         relay.runRound(new Policy.RequestResumed(
-                new Policy.RequestAccepted(id, type, null, null, relay.now + 15 * SECOND, 1),
-                List.of(past)));
+                new Policy.RequestAccepted(id, requestClassName, null, null, relay.now + 15 * SECOND, 1),
+                List.of(attempts)));
     }
 
     @Test
-    void resumedOnceWithAnUnknownAttemptFailsAtOnce() {
+    void resumedOnceRequestWithAnUnknownResultFailsAtOnce() {
         resume(1, "once", new Policy.PastAttempt("a", relay.now - SECOND, null));
         assertEquals(List.of(1L), relay.failed);
         assertEquals(0, relay.countSends(1));
     }
 
     @Test
-    void resumedOnceWhoseAttemptsNeverRanIsSentAgain() {
+    void resumedOnceRequestWhoseAttemptsHadNoEffectIsSentAgain() {
         resume(1, "once", new Policy.PastAttempt("a", relay.now - SECOND, Result.FULL));
         assertEquals(1, relay.countSends(1));
     }
 
     @Test
-    void resumedKeyedKeepsToItsZoneAndWindow() {
+    void resumedKeyedRequestStaysInItsZoneAndDedupWindow() {
         for (int id = 0; id < 4; id++) {
             resume(id, "keyed", new Policy.PastAttempt("b", relay.now - SECOND, null));
         }
@@ -747,7 +747,7 @@
     }
 
     @Test
-    void attemptsBeforeARestartCountOn() {
+    void attemptsBeforeARestartCountTowardsTheMaximum() {
         Policy.PastAttempt past = new Policy.PastAttempt("a", relay.now - SECOND, Result.FULL);
         resume(1, "safe", past, past, past, past, past, past);
         assertEquals(0, relay.countSends(1));
@@ -755,7 +755,7 @@
     }
 
     @Test
-    void waitToldToAProbeBindsCalls() {
+    void retryAfterOfAProbeDelaysCalls() {
         relay.runRound(new Policy.ProbeEnded("a", Result.FULL, SECOND, MILLISECOND, Policy.LimitReport.NONE))
                 .accept(1, "safe", 1);
         relay.advance(SECOND - MILLISECOND);
@@ -764,30 +764,30 @@
 
     /** Calls whose answers are lost would occupy slots until their time is up. */
     @Test
-    void unansweredCallGivesWayEarlyWhereAnotherAttemptMayFollow() {
-        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(2, 50))
+    void unansweredCallIsCancelledEarlyIfItMayBeRetried() {
+        SimulatedRelay twoSlotRelay = new SimulatedRelay(SimulatedRelay.settings(2, 50))
                 .receiveFullList(route("a", 1, "plain", "east"), route("d", 3, "bulk", "east"),
                         route("e", 4, "plain", "east"));
-        narrow.accept(1, "safe", 1).accept(2, "once", 3).advance(MILLISECOND)
+        twoSlotRelay.accept(1, "safe", 1).accept(2, "once", 3).advance(MILLISECOND)
                 .accept(3, "safe", 4).advance(1200 * MILLISECOND);
-        assertTrue(narrow.cancelled.isEmpty(), "the usual response is not known to be short yet");
-        narrow.advance(900 * MILLISECOND);
-        assertEquals(List.of(1L), narrow.cancelled, "the other may be sent once");
+        assertTrue(twoSlotRelay.cancelled.isEmpty(), "the usual response is not known to be short yet");
+        twoSlotRelay.advance(900 * MILLISECOND);
+        assertEquals(List.of(1L), twoSlotRelay.cancelled, "the other may be sent once");
     }
 
     @Test
-    void unansweredCallLeavesSoonerWhileAnswersProveLost() {
+    void unansweredCallIsCancelledSoonerWhileAnswersGetLost() {
         assertEquals(List.of(100L), cancelledAfterUnanswered(true, "safe"));
     }
 
     @Test
-    void unansweredCallThatMayGoOnceAlsoLeavesSoonerThen() {
+    void unansweredOnceCallIsCancelledSoonerWhileAnswersGetLost() {
         assertEquals(List.of(100L), cancelledAfterUnanswered(true, "once"));
     }
 
     /** A route that has answered nothing since a call was sent may be slow or down; no answer need be lost. */
     @Test
-    void callsThatNothingWasAnsweredSinceProveNoAnswerLost() {
+    void timeoutsWithoutALaterAnswerDoNotCountAsLostAnswers() {
         assertEquals(List.of(), cancelledAfterUnanswered(false, "safe"));
     }
 
@@ -796,43 +796,43 @@
      * occupy the slots and request 104 needs one for 0.7 s. If {@code answeredSince}, the route has answered a call
      * sent after each of the five, which shows that their answers were lost.
      */
-    private static List<Long> cancelledAfterUnanswered(boolean answeredSince, String type) {
-        SimulatedRelay narrow = new SimulatedRelay(SimulatedRelay.settings(4, 50))
+    private static List<Long> cancelledAfterUnanswered(boolean answeredSince, String requestClassName) {
+        SimulatedRelay fourSlotRelay = new SimulatedRelay(SimulatedRelay.settings(4, 50))
                 .receiveFullList(route("a", 1, "plain", "east"), route("d", 3, "plain", "east"),
                         route("e", 4, "plain", "east"), route("f", 5, "plain", "east"),
                         route("g", 6, "plain", "east"));
-        for (int lost = 0; lost < 10; lost += 2) {
-            int other = lost + 1;
+        for (int unansweredId = 0; unansweredId < 10; unansweredId += 2) {
+            int answeredId = unansweredId + 1;
             if (answeredSince) {
-                narrow.accept(lost, "once", 1);
+                fourSlotRelay.accept(unansweredId, "once", 1);
             }
-            narrow.advance(MILLISECOND).accept(other, "safe", 1).advance(50 * MILLISECOND)
-                    .answer(other, Result.OK);
+            fourSlotRelay.advance(MILLISECOND).accept(answeredId, "safe", 1).advance(50 * MILLISECOND)
+                    .answer(answeredId, Result.OK);
             if (!answeredSince) {
-                narrow.advance(MILLISECOND).accept(lost, "once", 1);
+                fourSlotRelay.advance(MILLISECOND).accept(unansweredId, "once", 1);
             }
-            narrow.advance(SECOND).answer(lost, Result.TIMEOUT);
+            fourSlotRelay.advance(SECOND).answer(unansweredId, Result.TIMEOUT);
         }
-        narrow.accept(100, type, 1).accept(101, "once", 3)
+        fourSlotRelay.accept(100, requestClassName, 1).accept(101, "once", 3)
                 .accept(102, "once", 4).accept(103, "once", 5).advance(MILLISECOND);
-        narrow.accept(104, "safe", 6).advance(700 * MILLISECOND);
-        return narrow.cancelled;
+        fourSlotRelay.accept(104, "safe", 6).advance(700 * MILLISECOND);
+        return fourSlotRelay.cancelled;
     }
 
     @Test
-    void anotherProcessGoesOnWithWaitsCircuitsAndSlots() {
+    void successorProcessKeepsRetryAfterTimesAndOpenCircuits() {
         relay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.FULL, 5 * SECOND);
         openCircuitOfRouteA();
-        SimulatedRelay heir = new SimulatedRelay(SimulatedRelay.settings())
+        SimulatedRelay successor = new SimulatedRelay(SimulatedRelay.settings())
                 .receiveFullList(route("a", 1, "plain", "east"), route("c", 2, "apart", "east"),
                         route("d", 3, "bulk", "east"));
-        heir.now = relay.now;
-        heir.runRound(new Policy.LearnedStateRestored(relay.module().encodeLearnedState(), 7));
-        heir.accept(20, "safe", 2).accept(21, "safe", 1).accept(22, "safe", 3).advance(MILLISECOND);
-        assertEquals(0, heir.countSends(20), "the wait told to the other process holds");
-        assertEquals(0, heir.countSends(21), "the circuit stays open");
-        assertEquals(1, heir.countSends(22));
-        assertEquals(heir.module().countUnavailableRoutes(heir.now), 2);
+        successor.now = relay.now;
+        successor.runRound(new Policy.LearnedStateRestored(relay.module().encodeLearnedState(), 7));
+        successor.accept(20, "safe", 2).accept(21, "safe", 1).accept(22, "safe", 3).advance(MILLISECOND);
+        assertEquals(0, successor.countSends(20), "the wait told to the other process holds");
+        assertEquals(0, successor.countSends(21), "the circuit stays open");
+        assertEquals(1, successor.countSends(22));
+        assertEquals(successor.module().countUnavailableRoutes(successor.now), 2);
     }
 
     /** Removes route b and fails calls until both route a and route c are avoided; c has a retry-after time. */
@@ -845,23 +845,23 @@
     }
 
     @Test
-    void callsOutAtAnotherProcessHoldSlotsUntilItHasEnded() {
-        SimulatedRelay heir = new SimulatedRelay(SimulatedRelay.settings(2, 50))
+    void callsOfThePredecessorOccupySlotsUntilItEnds() {
+        SimulatedRelay successor = new SimulatedRelay(SimulatedRelay.settings(2, 50))
                 .receiveFullList(route("d", 3, "bulk", "east"), route("a", 1, "plain", "east"));
-        heir.runRound(new Policy.LearnedStateRestored(new byte[0], 2));
-        heir.accept(1, "safe", 3).advance(MILLISECOND);
-        assertEquals(0, heir.countSends(1));
-        heir.runRound(new Policy.PredecessorCallEnded("d", Result.OK, 0, MILLISECOND, 1));
-        assertEquals(1, heir.countSends(1));
-        heir.accept(2, "safe", 1).advance(MILLISECOND);
-        assertEquals(0, heir.countSends(2));
-        heir.runRound(new Policy.PredecessorEnded());
-        assertEquals(1, heir.countSends(2));
+        successor.runRound(new Policy.LearnedStateRestored(new byte[0], 2));
+        successor.accept(1, "safe", 3).advance(MILLISECOND);
+        assertEquals(0, successor.countSends(1));
+        successor.runRound(new Policy.PredecessorCallEnded("d", Result.OK, 0, MILLISECOND, 1));
+        assertEquals(1, successor.countSends(1));
+        successor.accept(2, "safe", 1).advance(MILLISECOND);
+        assertEquals(0, successor.countSends(2));
+        successor.runRound(new Policy.PredecessorEnded());
+        assertEquals(1, successor.countSends(2));
     }
 
     /** CROWDED means that all connections of the route are in use. A lower pacing rate would not free one. */
     @Test
-    void connectionsThatAreTakenCutNoPaceAndAreLeftToOthersForAMoment() {
+    void crowdedRouteIsLeftAloneBrieflyWithoutACutOfThePacingRate() {
         makeFrequentCalls();
         relay.accept(300, "safe", 2).advance(MILLISECOND).answer(300, Result.CROWDED);
         assertEquals(1, relay.countSends(300), "not at once");
@@ -874,22 +874,22 @@
     }
 
     @Test
-    void repeatHasToLeaveWithinTheWindowOfItsKey() {
+    void retryMustBeSentWithinTheDedupWindowOfItsKey() {
         makeFrequentCalls();
         relay.latestSendTimes.clear();
         relay.accept(300, "keyed", 2);
-        long first = relay.now;
+        long firstSentAt = relay.now;
         relay.advance(MILLISECOND).answer(300, Result.ERROR).advance(SECOND);
-        assertEquals(List.of(Long.MAX_VALUE, first + 6 * SECOND), relay.latestSendTimes);
+        assertEquals(List.of(Long.MAX_VALUE, firstSentAt + 6 * SECOND), relay.latestSendTimes);
     }
 
     @Test
-    void refusalCutsThePaceByThePartThatWasRefused() {
-        SimulatedRelay one = createRelayServedTwentyPerSecond(SimulatedRelay.settings());
-        one.accept(100, "safe", 1).advance(50 * MILLISECOND).answer(100, Result.FULL).advance(SECOND);
-        long sent = countSendsInOneSecond(one, 200);
-        assertTrue(sent >= 14 && sent < 30,
-                "twenty a second were served and one was refused, sent: " + sent);
+    void refusalCutsThePacingRateByTheShareOfRefusedCalls() {
+        SimulatedRelay servedRelay = createRelayServedTwentyPerSecond(SimulatedRelay.settings());
+        servedRelay.accept(100, "safe", 1).advance(50 * MILLISECOND).answer(100, Result.FULL).advance(SECOND);
+        long sends = countSendsInOneSecond(servedRelay, 200);
+        assertTrue(sends >= 14 && sends < 30,
+                "twenty a second were served and one was refused, sent: " + sends);
     }
 
     /**
@@ -897,21 +897,21 @@
      * far longer to reach it.
      */
     @Test
-    void rowOfRefusalsIsRegainedWithinSeconds() {
-        SimulatedRelay one = createRelayServedTwentyPerSecond(SimulatedRelay.settings());
-        one.accept(100, "safe", 1).advance(50 * MILLISECOND);
+    void pacingRateRecoversWithinSecondsFromSeveralRefusals() {
+        SimulatedRelay servedRelay = createRelayServedTwentyPerSecond(SimulatedRelay.settings());
+        servedRelay.accept(100, "safe", 1).advance(50 * MILLISECOND);
         for (int i = 0; i < 3; i++) {
-            one.answer(100, Result.FULL);
-            while (one.unanswered.isEmpty()) {
-                one.advance(600 * MILLISECOND);
+            servedRelay.answer(100, Result.FULL);
+            while (servedRelay.unanswered.isEmpty()) {
+                servedRelay.advance(600 * MILLISECOND);
             }
         }
-        long cut = countSendsInOneSecond(one, 200);
-        countSendsInOneSecond(one, 300);
-        countSendsInOneSecond(one, 400);
-        long regained = countSendsInOneSecond(one, 500);
-        assertTrue(cut < 10 && regained >= 12,
-                "sent in the first second " + cut + ", in the fourth " + regained);
+        long sendsAfterCut = countSendsInOneSecond(servedRelay, 200);
+        countSendsInOneSecond(servedRelay, 300);
+        countSendsInOneSecond(servedRelay, 400);
+        long sendsAfterRecovery = countSendsInOneSecond(servedRelay, 500);
+        assertTrue(sendsAfterCut < 10 && sendsAfterRecovery >= 12,
+                "sent in the first second " + sendsAfterCut + ", in the fourth " + sendsAfterRecovery);
     }
 
     /**
@@ -919,48 +919,48 @@
      * it up.
      */
     @Test
-    void fleetThatIsRefusedGoesBelowAnyLimitWhateverTheQuotas() {
-        Policy.Settings plain = SimulatedRelay.fleetSettings(14, 7);
-        SimulatedRelay one = new SimulatedRelay(new Policy.Settings(7, 0, 14, "east", plain.classes(),
-                List.of(new Policy.Tenant("acme", 60)), plain.kinds(), plain.zones(),
-                plain.limits(), plain.rules(), 1, false, false, Policy.RateHint.NONE, 0))
+    void refusedFleetSlowsDownWhateverTheTenantQuotas() {
+        Policy.Settings fleetSettings = SimulatedRelay.fleetSettings(14, 7);
+        SimulatedRelay fleetRelay = new SimulatedRelay(new Policy.Settings(7, 0, 14, "east", fleetSettings.classes(),
+                List.of(new Policy.Tenant("acme", 60)), fleetSettings.kinds(), fleetSettings.zones(),
+                fleetSettings.limits(), fleetSettings.rules(), 1, false, false, Policy.RateHint.NONE, 0))
                 .receiveFullList(route("a", 1, "plain", "east"));
         for (int id = 1; id <= 20; id++) {
-            one.accept(id, "safe", 1);
+            fleetRelay.accept(id, "safe", 1);
         }
-        long before = 0;
-        while (one.now < 10 * SECOND) {
-            before = one.now < 5 * SECOND ? one.sent.size() : before;
-            one.advance(5 * MILLISECOND);
+        long sendsInFirstHalf = 0;
+        while (fleetRelay.now < 10 * SECOND) {
+            sendsInFirstHalf = fleetRelay.now < 5 * SECOND ? fleetRelay.sent.size() : sendsInFirstHalf;
+            fleetRelay.advance(5 * MILLISECOND);
             // One call of three is served, so that the refusals do not count as an outage.
-            List.copyOf(one.unanswered).forEach(sent -> one.answer(sent.id(),
-                    one.sent.size() % 3 == 0 ? Result.OK : Result.FULL));
+            List.copyOf(fleetRelay.unanswered).forEach(sent -> fleetRelay.answer(sent.id(),
+                    fleetRelay.sent.size() % 3 == 0 ? Result.OK : Result.FULL));
         }
-        long late = one.sent.size() - before;
-        assertTrue(late <= 7,
-                "calls of one in fourteen in the second five seconds: " + late);
+        long sendsInSecondHalf = fleetRelay.sent.size() - sendsInFirstHalf;
+        assertTrue(sendsInSecondHalf <= 7,
+                "calls of one in fourteen in the second five seconds: " + sendsInSecondHalf);
     }
 
     /** A relay that route a has served twenty calls a second for three seconds. */
     private static SimulatedRelay createRelayServedTwentyPerSecond(Policy.Settings settings) {
-        SimulatedRelay one = new SimulatedRelay(settings).receiveFullList(route("a", 1, "plain", "east"));
+        SimulatedRelay servedRelay = new SimulatedRelay(settings).receiveFullList(route("a", 1, "plain", "east"));
         for (int id = 1; id <= 60; id++) {
-            one.accept(id, "safe", 1).advance(50 * MILLISECOND).answer(id, Result.OK);
+            servedRelay.accept(id, "safe", 1).advance(50 * MILLISECOND).answer(id, Result.OK);
         }
-        return one;
+        return servedRelay;
     }
 
     /** The number of calls within one second while more requests wait than may be sent; each is served at once. */
-    private static long countSendsInOneSecond(SimulatedRelay one, int firstId) {
+    private static long countSendsInOneSecond(SimulatedRelay simulated, int firstId) {
         for (int id = firstId; id < firstId + 40; id++) {
-            one.accept(id, "safe", 1);
+            simulated.accept(id, "safe", 1);
         }
-        long from = one.now;
-        while (one.now < from + SECOND) {
-            one.advance(5 * MILLISECOND);
-            List.copyOf(one.unanswered).forEach(sent -> one.answer(sent.id(), Result.OK));
+        long start = simulated.now;
+        while (simulated.now < start + SECOND) {
+            simulated.advance(5 * MILLISECOND);
+            List.copyOf(simulated.unanswered).forEach(sent -> simulated.answer(sent.id(), Result.OK));
         }
-        return one.sent.stream()
-                .filter(sent -> sent.sentAt() >= from && sent.sentAt() < from + SECOND).count();
+        return simulated.sent.stream()
+                .filter(sent -> sent.sentAt() >= start && sent.sentAt() < start + SECOND).count();
     }
 }
--- a/src/test/java/drumdeal/FleetPacingTest.java
+++ b/src/test/java/drumdeal/FleetPacingTest.java
@@ -63,7 +63,7 @@
         "10,1.3,NOMINAL,false", "10,1.3,NONE,false", "30,1.3,NOMINAL,false", "30,1.3,NONE,false",
         "10,0.8,NOMINAL,true", "10,0.8,NONE,true", "10,1.3,NOMINAL,true", "10,1.3,NONE,true",
         "30,1.3,NOMINAL,true", "30,1.3,NONE,true"})
-    void mostOfWhatTheDestinationTakesIsServed(int limit, double load, RateHint hint, boolean refusalsCount) {
+    void fleetGetsMostOfTheLimitServed(int limit, double load, RateHint hint, boolean refusalsCount) {
         Policy.ListedRoute listed = new Policy.ListedRoute("a", 1, "plain", "east", Availability.LISTED, limit);
         SimulatedFleet fleet = new SimulatedFleet(RELAY_COUNT, 5,
                 i -> new SimulatedRelay(settings(i, hint)).receiveFullList(listed));
@@ -71,17 +71,17 @@
         for (long now = 0; now < DURATION_MICROS; now += STEP_MICROS) {
             pendingAnswers.removeIf(this::answerIfDue);
             for (int i = 0; i < RELAY_COUNT; i++) {
-                long at = now;
+                long stepTime = now;
                 SimulatedRelay relay = fleet.relays.get(i);
                 relay.advance(now - relay.now);
                 fleet.stepRelay(i, probability,
-                        (from, sent) -> handleArrival(fleet, from, sent, at, limit, refusalsCount));
+                        (sender, sent) -> handleArrival(fleet, sender, sent, stepTime, limit, refusalsCount));
             }
         }
-        double possible = Math.min(1, load) * limit * DURATION_MICROS / SECOND;
-        double least = refusalsCount ? MIN_SERVED_SHARE_WHERE_REFUSALS_COUNT : MIN_SERVED_SHARE;
-        assertTrue(servedCount >= least * possible,
-                "served " + servedCount + " of " + possible + ", refused " + refusedCount);
+        double possibleCalls = Math.min(1, load) * limit * DURATION_MICROS / SECOND;
+        double minShare = refusalsCount ? MIN_SERVED_SHARE_WHERE_REFUSALS_COUNT : MIN_SERVED_SHARE;
+        assertTrue(servedCount >= minShare * possibleCalls,
+                "served " + servedCount + " of " + possibleCalls + ", refused " + refusedCount);
     }
 
     /** Delivers an answer once it is due; returns whether it did. */
@@ -99,24 +99,24 @@
         while (!countedCallTimes.isEmpty() && countedCallTimes.peek() <= now - SECOND) {
             countedCallTimes.remove();
         }
-        boolean taken = countedCallTimes.size() < limit;
-        if (taken || refusalsCount) {
+        boolean accepted = countedCallTimes.size() < limit;
+        if (accepted || refusalsCount) {
             countedCallTimes.add(now);
         }
-        servedCount += taken ? 1 : 0;
-        refusedCount += taken ? 0 : 1;
-        long wait = !taken && fleet.random.nextDouble() < RETRY_AFTER_SHARE
+        servedCount += accepted ? 1 : 0;
+        refusedCount += accepted ? 0 : 1;
+        long retryAfter = !accepted && fleet.random.nextDouble() < RETRY_AFTER_SHARE
                 ? countedCallTimes.peek() + SECOND - now : 0;
         pendingAnswers.add(new PendingAnswer(relay, sent,
-                now + (taken ? RESPONSE_TIME_MICROS : REFUSAL_TIME_MICROS),
-                taken ? Result.OK : Result.FULL, wait));
+                now + (accepted ? RESPONSE_TIME_MICROS : REFUSAL_TIME_MICROS),
+                accepted ? Result.OK : Result.FULL, retryAfter));
     }
 
     /** Settings of one relay of the fleet, with the given meaning of the listed rate. */
     private static Policy.Settings settings(long seed, RateHint hint) {
-        Policy.Settings fleet = SimulatedRelay.fleetSettings(RELAY_COUNT, seed);
-        return new Policy.Settings(seed, 0, RELAY_COUNT, fleet.zone(), fleet.classes(),
-                fleet.tenants(), fleet.kinds(), fleet.zones(), fleet.limits(),
-                fleet.rules(), 1, false, false, hint, 0);
+        Policy.Settings fleetSettings = SimulatedRelay.fleetSettings(RELAY_COUNT, seed);
+        return new Policy.Settings(seed, 0, RELAY_COUNT, fleetSettings.zone(), fleetSettings.classes(),
+                fleetSettings.tenants(), fleetSettings.kinds(), fleetSettings.zones(), fleetSettings.limits(),
+                fleetSettings.rules(), 1, false, false, hint, 0);
     }
 }
--- a/src/test/java/drumdeal/FleetSlowStartTest.java
+++ b/src/test/java/drumdeal/FleetSlowStartTest.java
@@ -48,11 +48,11 @@
      */
     @ParameterizedTest
     @MethodSource("outages")
-    void sumOfAllRelaysStaysWithinWhatAColdDestinationBears(Result failure, int budget) {
+    void allRelaysTogetherStayWithinTheCapacityOfTheRecoveringDestination(Result failure, int budget) {
         double capacity = budget
                 / (rules.collapseLoadMultiple() * rules.coldCapacityShare() * rules.collapseWindowMicros() / SECOND);
-        String worst = "";
-        double most = 0;
+        String highestLoadText = "";
+        double highestLoad = 0;
         for (long now = 0; now < OUTAGE_END_MICROS + rules.warmUpMicros(); now += STEP_MICROS) {
             for (int i = 0; i < RELAY_COUNT; i++) {
                 stepRelay(i, now, capacity * LOAD_RATIO / RELAY_COUNT, failure);
@@ -62,14 +62,14 @@
             }
             if (now >= OUTAGE_END_MICROS) {
                 double allowed = allowedCalls(capacity, now);
-                if (recentSendTimes.size() / allowed > most) {
-                    most = recentSendTimes.size() / allowed;
-                    worst = recentSendTimes.size() + " calls of " + allowed
+                if (recentSendTimes.size() / allowed > highestLoad) {
+                    highestLoad = recentSendTimes.size() / allowed;
+                    highestLoadText = recentSendTimes.size() + " calls of " + allowed
                             + ", ms after the return: " + (now - OUTAGE_END_MICROS) / MILLISECOND;
                 }
             }
         }
-        assertTrue(most <= 1, worst);
+        assertTrue(highestLoad <= 1, highestLoadText);
     }
 
     /**
@@ -79,9 +79,9 @@
      * @param capacity calls per second that the warm destination serves
      */
     private double allowedCalls(double capacity, long now) {
-        double warm = (now - OUTAGE_END_MICROS) / (double) rules.warmUpMicros();
-        double part = rules.coldCapacityShare() * (1 - warm) + warm;
-        double budget = rules.collapseLoadMultiple() * rules.collapseWindowMicros() / SECOND * capacity * part;
+        double warmUpShare = (now - OUTAGE_END_MICROS) / (double) rules.warmUpMicros();
+        double capacityShare = rules.coldCapacityShare() * (1 - warmUpShare) + warmUpShare;
+        double budget = rules.collapseLoadMultiple() * rules.collapseWindowMicros() / SECOND * capacity * capacityShare;
         return budget + 2 * Math.sqrt(budget) + 2;
     }
 
@@ -95,18 +95,18 @@
         // The last relay gets no requests before the end of the outage, so it does not notice the outage.
         boolean idle = number == RELAY_COUNT - 1 && now < OUTAGE_END_MICROS;
         fleet.stepRelay(number, idle ? 0 : rate * STEP_MICROS / SECOND,
-                (from, sent) -> recentSendTimes.add(sent.sentAt()));
+                (sender, sent) -> recentSendTimes.add(sent.sentAt()));
     }
 
     /** Answers a call after the response time, or with a timeout if the outage leaves it unanswered. */
     private void answerIfDue(SimulatedRelay relay, SimulatedRelay.SentAttempt sent, long now, Result failure) {
-        boolean down = sent.sentAt() >= OUTAGE_START_MICROS - RESPONSE_TIME_MICROS
+        boolean failed = sent.sentAt() >= OUTAGE_START_MICROS - RESPONSE_TIME_MICROS
                 && sent.sentAt() < OUTAGE_END_MICROS;
-        boolean silent = down && failure == Result.TIMEOUT;
+        boolean timesOut = failed && failure == Result.TIMEOUT;
         // A timeout of 0 means until the deadline of the request, which is 20 s after its acceptance.
-        long due = silent ? sent.timeout() == 0 ? 20 * SECOND : sent.timeout() : RESPONSE_TIME_MICROS;
-        if (now - sent.sentAt() >= due) {
-            relay.answer(sent.id(), down ? failure : Result.OK);
+        long answerDelay = timesOut ? sent.timeout() == 0 ? 20 * SECOND : sent.timeout() : RESPONSE_TIME_MICROS;
+        if (now - sent.sentAt() >= answerDelay) {
+            relay.answer(sent.id(), failed ? failure : Result.OK);
         }
     }
 }
--- a/src/test/java/drumdeal/RandomEventsTest.java
+++ b/src/test/java/drumdeal/RandomEventsTest.java
@@ -32,7 +32,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void keepsEveryRule(long seed) {
+    void randomEventsBreakNoRule(long seed) {
         RuleChecker checker = new RuleChecker(seed);
         for (int i = 0; i < 4_000; i++) {
             checker.step();
@@ -131,56 +131,56 @@
 
         /** Reports a new request; destination 3 has no route. */
         void acceptRequest() {
-            TrackedRequest track = new TrackedRequest();
-            track.requestClass = settings.classes().get(random.nextInt(4));
-            track.destination = random.nextInt(4);
-            track.key = track.requestClass.orderedByKey() ? "k" + random.nextInt(5) : null;
-            track.deadline = now + track.requestClass.timeLimitMicros() / (1 + random.nextInt(4));
-            requestsById.put(nextId, track);
-            pendingEvents.add(new Policy.RequestAccepted(nextId++, track.requestClass.name(), null, track.key,
-                    track.deadline, track.destination));
+            TrackedRequest request = new TrackedRequest();
+            request.requestClass = settings.classes().get(random.nextInt(4));
+            request.destination = random.nextInt(4);
+            request.key = request.requestClass.orderedByKey() ? "k" + random.nextInt(5) : null;
+            request.deadline = now + request.requestClass.timeLimitMicros() / (1 + random.nextInt(4));
+            requestsById.put(nextId, request);
+            pendingEvents.add(new Policy.RequestAccepted(nextId++, request.requestClass.name(), null, request.key,
+                    request.deadline, request.destination));
         }
 
         /** Changes the availability of a random route. */
         void changeList() {
             String name = "r" + random.nextInt(9);
-            Policy.ListedRoute old = listedRoutes.get(name);
-            Availability next = Availability.values()[random.nextInt(3)];
-            putRoute(new Policy.ListedRoute(name, old.destination(), old.kind(), old.zone(), next, 0));
+            Policy.ListedRoute entry = listedRoutes.get(name);
+            Availability availability = Availability.values()[random.nextInt(3)];
+            putRoute(new Policy.ListedRoute(name, entry.destination(), entry.kind(), entry.zone(), availability, 0));
             pendingEvents.add(new Policy.RouteListUpdate(Policy.RouteListUpdateType.CHANGES, 2,
                     List.of(listedRoutes.get(name))));
         }
 
         /** Ends the attempts whose timeout has passed. */
         void timeOutExpiredAttempts() {
-            for (long[] attempt : List.copyOf(attemptsInFlight)) {
-                if (requestsById.get(attempt[0]).attempts.get((int) attempt[1]).timeoutAt <= now) {
-                    attemptsInFlight.remove(attempt);
-                    completeAttempt(attempt, Result.TIMEOUT);
+            for (long[] idAndIndex : List.copyOf(attemptsInFlight)) {
+                if (requestsById.get(idAndIndex[0]).attempts.get((int) idAndIndex[1]).timeoutAt <= now) {
+                    attemptsInFlight.remove(idAndIndex);
+                    completeAttempt(idAndIndex, Result.TIMEOUT);
                 }
             }
         }
 
         /** Reports the result of the attempt with a request id and index; some refusals carry a retry-after time. */
-        void completeAttempt(long[] attempt, Result result) {
-            TrackedRequest track = requestsById.get(attempt[0]);
-            TrackedAttempt sent = track.attempts.get((int) attempt[1]);
-            sent.result = result;
-            boolean closing = result == Result.OK && !track.ended;
-            if (closing) {
-                track.ended = true;
+        void completeAttempt(long[] idAndIndex, Result result) {
+            TrackedRequest request = requestsById.get(idAndIndex[0]);
+            TrackedAttempt attempt = request.attempts.get((int) idAndIndex[1]);
+            attempt.result = result;
+            boolean delivered = result == Result.OK && !request.ended;
+            if (delivered) {
+                request.ended = true;
                 answeredCount++;
             }
-            long told = result == Result.FULL && random.nextBoolean() ? random.nextInt(1500) * MILLISECOND : 0;
-            if (told > 0) {
-                groupBlockedUntil.merge(groupOf(sent.route), now + told, Math::max);
+            long retryAfter = result == Result.FULL && random.nextBoolean() ? random.nextInt(1500) * MILLISECOND : 0;
+            if (retryAfter > 0) {
+                groupBlockedUntil.merge(groupOf(attempt.route), now + retryAfter, Math::max);
             }
-            if (track.key != null && !RESULTS_WITHOUT_EFFECT.contains(result) && result != Result.OK
+            if (request.key != null && !RESULTS_WITHOUT_EFFECT.contains(result) && result != Result.OK
                     && result != Result.ERROR) {
-                keyBlockedUntil.put(track.key, now + settings.rules().orderPauseMicros());
+                keyBlockedUntil.put(request.key, now + settings.rules().orderPauseMicros());
             }
-            pendingEvents.add(new Policy.AttemptEnded(attempt[0], (int) attempt[1], sent.route, result,
-                    track.ended, told, now - sent.sentAt, LimitReport.NONE));
+            pendingEvents.add(new Policy.AttemptEnded(idAndIndex[0], (int) idAndIndex[1], attempt.route, result,
+                    request.ended, retryAfter, now - attempt.sentAt, LimitReport.NONE));
         }
 
         /** Reports the pending events and due timers, then checks that no request has missed its deadline. */
@@ -197,8 +197,8 @@
                 policy.onRound(now, round, this);
             }
             // The clock moves in steps of less than 60 ms, so timers fire late and requests may end after the deadline.
-            requestsById.forEach((id, track) -> assertTrue(
-                    track.ended || now <= track.deadline + 80 * MILLISECOND,
+            requestsById.forEach((id, request) -> assertTrue(
+                    request.ended || now <= request.deadline + 80 * MILLISECOND,
                     "request " + id + " is overdue"));
         }
 
@@ -218,71 +218,71 @@
 
         @Override
         public void startAttempt(long id, String route, long timeout) {
-            TrackedRequest track = requestsById.get(id);
+            TrackedRequest request = requestsById.get(id);
             Policy.ListedRoute entry = listedRoutes.get(route);
-            assertFalse(track.ended, "sent after its end");
-            assertEquals(track.destination, entry.destination());
-            assertTrue(track.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
+            assertFalse(request.ended, "sent after its end");
+            assertEquals(request.destination, entry.destination());
+            assertTrue(request.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
             assertTrue(unlistedAt.getOrDefault(route, now) + settings.rules().drainGraceMicros() >= now,
                     "drain");
             assertTrue(groupBlockedUntil.getOrDefault(groupOf(route), now) <= now,
                     "wait");
-            checkRepeat(track, entry);
-            checkOrder(id, track);
-            TrackedAttempt sent = new TrackedAttempt();
-            sent.route = route;
-            sent.sentAt = now;
-            sent.timeoutAt = timeout == 0 ? track.deadline : Math.min(track.deadline, now + timeout);
-            track.attempts.add(sent);
-            attemptsInFlight.add(new long[] {id, track.attempts.size() - 1});
+            checkRepeat(request, entry);
+            checkOrder(id, request);
+            TrackedAttempt attempt = new TrackedAttempt();
+            attempt.route = route;
+            attempt.sentAt = now;
+            attempt.timeoutAt = timeout == 0 ? request.deadline : Math.min(request.deadline, now + timeout);
+            request.attempts.add(attempt);
+            attemptsInFlight.add(new long[] {id, request.attempts.size() - 1});
         }
 
         /** Checks that the earlier attempts of a request allow another one to a route. */
-        void checkRepeat(TrackedRequest track, Policy.ListedRoute entry) {
-            for (TrackedAttempt earlier : track.attempts) {
+        void checkRepeat(TrackedRequest request, Policy.ListedRoute entry) {
+            for (TrackedAttempt earlier : request.attempts) {
                 assertTrue(earlier.result != null, "two attempts out");
                 if (RESULTS_WITHOUT_EFFECT.contains(earlier.result)) {
                     continue;
                 }
-                assertTrue(track.requestClass.idempotency() != Idempotency.ONCE,
+                assertTrue(request.requestClass.idempotency() != Idempotency.ONCE,
                         "once sent again");
-                if (track.requestClass.idempotency() == Idempotency.BY_KEY) {
+                if (request.requestClass.idempotency() == Idempotency.BY_KEY) {
                     assertEquals(listedRoutes.get(earlier.route).zone(), entry.zone(),
                             "outside the key's zone");
-                    assertTrue(now <= earlier.sentAt + track.requestClass.dedupWindowMicros(),
+                    assertTrue(now <= earlier.sentAt + request.requestClass.dedupWindowMicros(),
                             "outside the key's window");
                 }
             }
         }
 
         /** Checks that all earlier requests of the same key have ended and that the key is not paused. */
-        void checkOrder(long id, TrackedRequest track) {
-            if (track.key == null) {
+        void checkOrder(long id, TrackedRequest request) {
+            if (request.key == null) {
                 return;
             }
             for (Map.Entry<Long, TrackedRequest> other : requestsById.entrySet()) {
                 TrackedRequest earlier = other.getValue();
-                if (other.getKey() < id && track.key.equals(earlier.key)) {
-                    assertTrue(earlier.ended && earlier.attempts.stream().allMatch(t -> t.result != null),
+                if (other.getKey() < id && request.key.equals(earlier.key)) {
+                    assertTrue(earlier.ended && earlier.attempts.stream().allMatch(attempt -> attempt.result != null),
                             "order");
                 }
             }
-            if (track.attempts.isEmpty()) {
-                assertTrue(keyBlockedUntil.getOrDefault(track.key, now) <= now,
+            if (request.attempts.isEmpty()) {
+                assertTrue(keyBlockedUntil.getOrDefault(request.key, now) <= now,
                         "order pause");
             }
         }
 
         /** Ends a request by a rejection or a failure; a rejection tells the client that it may submit it again. */
-        void endRequest(long id, boolean refusal) {
-            TrackedRequest track = requestsById.get(id);
-            assertFalse(track.ended, "two final answers");
-            track.ended = true;
+        void endRequest(long id, boolean rejected) {
+            TrackedRequest request = requestsById.get(id);
+            assertFalse(request.ended, "two final answers");
+            request.ended = true;
             answeredCount++;
-            boolean mayHaveRun = track.attempts.stream()
-                    .anyMatch(t -> t.result == null || !RESULTS_WITHOUT_EFFECT.contains(t.result));
-            if (refusal && mayHaveRun) {
-                assertEquals(Idempotency.REPEATABLE, track.requestClass.idempotency(),
+            boolean mayHaveTakenEffect = request.attempts.stream()
+                    .anyMatch(attempt -> attempt.result == null || !RESULTS_WITHOUT_EFFECT.contains(attempt.result));
+            if (rejected && mayHaveTakenEffect) {
+                assertEquals(Idempotency.REPEATABLE, request.requestClass.idempotency(),
                         "refused though it may have run");
             }
         }
@@ -299,17 +299,17 @@
 
         @Override
         public void cancelAttempt(long id, int attempt) {
-            for (long[] sent : List.copyOf(attemptsInFlight)) {
-                if (sent[0] == id && sent[1] == attempt) {
-                    attemptsInFlight.remove(sent);
-                    completeAttempt(sent, Result.CANCELLED);
+            for (long[] idAndIndex : List.copyOf(attemptsInFlight)) {
+                if (idAndIndex[0] == id && idAndIndex[1] == attempt) {
+                    attemptsInFlight.remove(idAndIndex);
+                    completeAttempt(idAndIndex, Result.CANCELLED);
                 }
             }
         }
 
         @Override
-        public void setTimer(long name, long delay) {
-            timers.add(new long[] {now + Math.max(1, delay), name});
+        public void setTimer(long timer, long delay) {
+            timers.add(new long[] {now + Math.max(1, delay), timer});
         }
 
         @Override
--- a/src/test/java/drumdeal/ResumptionTest.java
+++ b/src/test/java/drumdeal/ResumptionTest.java
@@ -23,36 +23,36 @@
     private final SimulatedRelay relay = new SimulatedRelay(SimulatedRelay.settings(10, 50));
 
     /** Lists two routes that share the limit of destination 1 and a route of destination 2. */
-    private SimulatedRelay listRoutes(SimulatedRelay one) {
-        return one.receiveFullList(route("a", 1, "plain", "east"), route("b", 1, "plain", "west"),
+    private SimulatedRelay listRoutes(SimulatedRelay target) {
+        return target.receiveFullList(route("a", 1, "plain", "east"), route("b", 1, "plain", "west"),
                 route("c", 2, "apart", "east"));
     }
 
     /** As below, for the ids 0 to 39. */
-    private SimulatedRelay resumeMessages(int destination, long left) {
-        return resumeMessages(destination, left, 0, MESSAGE_COUNT);
+    private SimulatedRelay resumeMessages(int destination, long timeLeft) {
+        return resumeMessages(destination, timeLeft, 0, MESSAGE_COUNT);
     }
 
     /**
      * Resumes the requests with the ids {@code from} to {@code to - 1}, for which no attempt was made. The deadline of
      * request 0 is {@code timeLeft} microseconds from now, that of each further one 50 ms later.
      */
-    private SimulatedRelay resumeMessages(int destination, long left, int from, int to) {
+    private SimulatedRelay resumeMessages(int destination, long timeLeft, int from, int to) {
         List<Policy.Event> events = new ArrayList<>();
         for (int id = from; id < to; id++) {
-            long deadline = relay.now + left + id * 50 * MILLISECOND;
-            String type = List.of("safe", "keyed", "once").get(id % 3);
+            long deadline = relay.now + timeLeft + id * 50 * MILLISECOND;
+            String requestClassName = List.of("safe", "keyed", "once").get(id % 3);
             events.add(new Policy.RequestResumed(
-                    new Policy.RequestAccepted(id, type, null, null, deadline, destination), List.of()));
+                    new Policy.RequestAccepted(id, requestClassName, null, null, deadline, destination), List.of()));
         }
         return relay.runRound(events.toArray(Policy.Event[]::new));
     }
 
     /** Moves the clock forward by {@code micros}; each attempt ends with {@code result} after its response time. */
-    private void advanceAndAnswer(long span, long after, Result result) {
-        for (long end = relay.now + span; relay.now < end;) {
+    private void advanceAndAnswer(long micros, long responseTime, Result result) {
+        for (long end = relay.now + micros; relay.now < end;) {
             relay.advance(10 * MILLISECOND);
-            List.copyOf(relay.unanswered).stream().filter(sent -> relay.now - sent.sentAt() >= after)
+            List.copyOf(relay.unanswered).stream().filter(sent -> relay.now - sent.sentAt() >= responseTime)
                     .forEach(sent -> relay.answer(sent.id(), result));
         }
     }
@@ -65,18 +65,18 @@
 
     /** The pacing rate learned before the restart would delay most of the requests beyond their deadlines. */
     @Test
-    void allAreTriedWhereAPaceComesBackThatWouldHoldThemBeyondTheirTime() {
-        SimulatedRelay before = listRoutes(new SimulatedRelay(SimulatedRelay.fleetSettings(100, 3)));
+    void resumedRequestsAreTriedDespiteALowRestoredPacingRate() {
+        SimulatedRelay predecessor = listRoutes(new SimulatedRelay(SimulatedRelay.fleetSettings(100, 3)));
         for (int id = 100; id < 110; id++) {
-            before.accept(id, "safe", 2);
-            if (before.countSends(id) > 0) {
-                before.answer(id, Result.FULL);
+            predecessor.accept(id, "safe", 2);
+            if (predecessor.countSends(id) > 0) {
+                predecessor.answer(id, Result.FULL);
             }
-            before.advance(SECOND);
+            predecessor.advance(SECOND);
         }
-        relay.now = before.now;
+        relay.now = predecessor.now;
         listRoutes(relay).runRound(
-                new Policy.LearnedStateRestored(before.module().encodeLearnedState(), 0),
+                new Policy.LearnedStateRestored(predecessor.module().encodeLearnedState(), 0),
                 new Policy.PredecessorEnded());
         resumeMessages(2, 6 * SECOND);
         advanceAndAnswer(9 * SECOND, 100 * MILLISECOND, Result.OK);
@@ -90,17 +90,17 @@
      * of the requests before their deadlines.
      */
     @Test
-    void allAreTriedAtACircuitThatComesBackOpen() {
-        SimulatedRelay before = listRoutes(new SimulatedRelay(SimulatedRelay.settings(10, 50)));
+    void resumedRequestsAreTriedDespiteARestoredOpenCircuit() {
+        SimulatedRelay predecessor = listRoutes(new SimulatedRelay(SimulatedRelay.settings(10, 50)));
         for (int id = 100; id < 112; id++) {
-            before.accept(id, "safe", 1).accept(id + 100, "safe", 1).advance(200 * MILLISECOND);
-            List.copyOf(before.unanswered)
-                    .forEach(sent -> before.answer(sent.id(), Result.CONNECT_FAILED));
+            predecessor.accept(id, "safe", 1).accept(id + 100, "safe", 1).advance(200 * MILLISECOND);
+            List.copyOf(predecessor.unanswered)
+                    .forEach(sent -> predecessor.answer(sent.id(), Result.CONNECT_FAILED));
         }
-        assertTrue(before.logLines.toString().contains("out: "), before.logLines.toString());
-        relay.now = before.now;
+        assertTrue(predecessor.logLines.toString().contains("out: "), predecessor.logLines.toString());
+        relay.now = predecessor.now;
         listRoutes(relay).runRound(
-                new Policy.LearnedStateRestored(before.module().encodeLearnedState(), 0),
+                new Policy.LearnedStateRestored(predecessor.module().encodeLearnedState(), 0),
                 new Policy.PredecessorEnded());
         resumeMessages(1, 15 * SECOND, 0, MESSAGE_COUNT / 2);
         advanceAndAnswer(18 * SECOND, 100 * MILLISECOND, Result.CONNECT_FAILED);
@@ -109,7 +109,7 @@
 
     /** Unlike a new request, a resumed one is tried even if its answer would probably come too late. */
     @Test
-    void littleTimeLeftIsTimeForATry() {
+    void resumedRequestsAreTriedEvenShortlyBeforeTheirDeadlines() {
         listRoutes(relay);
         for (int id = 0; id < 6; id++) {
             relay.runRound(new Policy.RequestResumed(
@@ -121,7 +121,7 @@
 
     /** The list from before the restart may lack the destination, and the next regular update may come too late. */
     @Test
-    void destinationThatTheOldListLacksIsAskedForAtOnceAndTriedOnceItIsKnown() {
+    void missingDestinationCausesAListFetchAndIsCalledOnceListed() {
         resumeMessages(1, 4 * SECOND).advance(SECOND);
         assertEquals(0, countTried());
         assertTrue(relay.listFetchCount > 0, "the list is asked for");
@@ -131,14 +131,14 @@
     }
 
     @Test
-    void newMessagesNeitherPushOutWhatIsOwedNorGoBeforeIt() {
+    void newRequestsNeitherEvictNorOvertakeResumedRequests() {
         listRoutes(relay);
         resumeMessages(1, 15 * SECOND);
-        Set<Long> refusedSoFar = Set.copyOf(relay.refused);
+        Set<Long> rejectedSoFar = Set.copyOf(relay.refused);
         for (int id = 1000; id < 1040; id++) {
             relay.accept(id, "quick", 1).advance(MILLISECOND);
         }
-        Set<Long> evicted = relay.refused.stream().filter(id -> id < MESSAGE_COUNT && !refusedSoFar.contains(id))
+        Set<Long> evicted = relay.refused.stream().filter(id -> id < MESSAGE_COUNT && !rejectedSoFar.contains(id))
                 .collect(Collectors.toSet());
         assertEquals(Set.of(), evicted);
         advanceAndAnswer(8 * SECOND, 100 * MILLISECOND, Result.OK);
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void waitsThatWereToldAreKeptByWhatIsOwed() {
+    void resumedRequestsObserveRetryAfterTimes() {
         listRoutes(relay);
         relay.accept(500, "safe", 1).answer(500, Result.FULL, 30 * SECOND);
         resumeMessages(1, 3 * SECOND);
@@ -160,7 +160,7 @@
      * would expire there untried.
      */
     @Test
-    void processThatEndsHandsBackWhatTheNextOneCanNotTryInTime() {
+    void shutdownRejectsRequestsThatTheNextProcessCannotTryInTime() {
         listRoutes(relay).runRound(new Policy.ShutdownStarted());
         relay.runRound(new Policy.RequestAccepted(1, "once", null, null, relay.now + 3 * SECOND, 1),
                 new Policy.RequestAccepted(2, "once", null, null, relay.now + 6 * SECOND, 1));
--- a/src/test/java/drumdeal/ShortDeadlineTest.java
+++ b/src/test/java/drumdeal/ShortDeadlineTest.java
@@ -24,31 +24,31 @@
      *
      * @param others further request classes
      */
-    private SimulatedRelay createRelay(Idempotency repeat, RequestClass... others) {
-        Policy.Settings usual = SimulatedRelay.settings();
+    private SimulatedRelay createRelay(Idempotency idempotency, RequestClass... others) {
+        Policy.Settings defaults = SimulatedRelay.settings();
         List<RequestClass> classes = new ArrayList<>(List.of(others));
-        classes.add(new RequestClass("brief", repeat, KeyScope.ALL, SECOND, 400 * MILLISECOND, DEADLINE_MICROS, 1,
+        classes.add(new RequestClass("brief", idempotency, KeyScope.ALL, SECOND, 400 * MILLISECOND, DEADLINE_MICROS, 1,
                 0.5, false));
-        return new SimulatedRelay(new Policy.Settings(usual.seed(), 0, 2, "east", classes,
-                List.of(), usual.kinds(), usual.zones(),
+        return new SimulatedRelay(new Policy.Settings(defaults.seed(), 0, 2, "east", classes,
+                List.of(), defaults.kinds(), defaults.zones(),
                 new Policy.Limits(10, 100, 6, true, false, false, false, false, SECOND),
-                usual.rules(), 1, false, false, Policy.RateHint.NONE, 0))
+                defaults.rules(), 1, false, false, Policy.RateHint.NONE, 0))
                 .receiveFullList(route("a", 1, "plain", "east"));
     }
 
     /** With the default timeout the first attempt would last until the deadline and leave no time for a second one. */
     @ParameterizedTest
     @EnumSource(names = "ONCE", mode = EnumSource.Mode.EXCLUDE)
-    void messageThatMayBeRepeatedGoesToAnotherRouteWhileThereIsTime(Idempotency repeat) {
-        SimulatedRelay relay = createRelay(repeat)
+    void unansweredRequestIsRetriedOnAnotherRouteBeforeItsDeadline(Idempotency idempotency) {
+        SimulatedRelay relay = createRelay(idempotency)
                 .receiveFullList(route("a", 1, "plain", "east"), route("b", 1, "plain", "east"));
         relay.runRound(new Policy.RequestAccepted(1, "brief", null, "k", relay.now + DEADLINE_MICROS, 1));
-        SimulatedRelay.SentAttempt silent = relay.sent.get(0);
-        assertTrue(silent.timeout() > 0 && silent.timeout() <= DEADLINE_MICROS * 3 / 4,
-                "waits for ms: " + silent.timeout() / MILLISECOND);
-        relay.advance(silent.timeout());
+        SimulatedRelay.SentAttempt firstAttempt = relay.sent.get(0);
+        assertTrue(firstAttempt.timeout() > 0 && firstAttempt.timeout() <= DEADLINE_MICROS * 3 / 4,
+                "waits for ms: " + firstAttempt.timeout() / MILLISECOND);
+        relay.advance(firstAttempt.timeout());
         relay.answer(1, Result.TIMEOUT);
-        assertTrue(relay.sent.size() == 2 && !relay.sent.get(1).route().equals(silent.route()),
+        assertTrue(relay.sent.size() == 2 && !relay.sent.get(1).route().equals(firstAttempt.route()),
                 relay.sent.toString());
     }
 
@@ -56,12 +56,12 @@
      * Moves the clock forward by {@code micros}. If {@code routeAnswers}, each attempt is answered after 100 ms,
      * otherwise it ends with a timeout.
      */
-    private static void advanceAndAnswer(SimulatedRelay relay, long span, boolean answers) {
-        for (long end = relay.now + span; relay.now < end;) {
+    private static void advanceAndAnswer(SimulatedRelay relay, long micros, boolean routeAnswers) {
+        for (long end = relay.now + micros; relay.now < end;) {
             relay.advance(50 * MILLISECOND);
             for (SimulatedRelay.SentAttempt sent : List.copyOf(relay.unanswered)) {
                 long timeout = sent.timeout() == 0 ? DEADLINE_MICROS : Math.min(sent.timeout(), DEADLINE_MICROS);
-                if (answers && relay.now - sent.sentAt() >= 100 * MILLISECOND) {
+                if (routeAnswers && relay.now - sent.sentAt() >= 100 * MILLISECOND) {
                     relay.answer(sent.id(), Result.OK);
                 } else if (relay.now - sent.sentAt() >= timeout) {
                     relay.answer(sent.id(), Result.TIMEOUT);
@@ -72,8 +72,8 @@
 
     @ParameterizedTest
     @EnumSource(Idempotency.class)
-    void silentRouteIsLeftAloneAndServesAgainOnceItAnswers(Idempotency repeat) {
-        assertCircuitOpensAndCloses(createRelay(repeat));
+    void circuitOfAnUnresponsiveRouteOpensAndClosesOnceItAnswers(Idempotency idempotency) {
+        assertCircuitOpensAndCloses(createRelay(idempotency));
     }
 
     /**
@@ -82,8 +82,8 @@
      */
     @ParameterizedTest
     @EnumSource(Idempotency.class)
-    void routeThatGetsOnlyBriefMessagesOfAMixedLotServesAgain(Idempotency repeat) {
-        assertCircuitOpensAndCloses(createRelay(repeat,
+    void circuitClosesByBriefRequestsWhileAnotherClassHasALongDeadline(Idempotency idempotency) {
+        assertCircuitOpensAndCloses(createRelay(idempotency,
                 new RequestClass("long", Idempotency.REPEATABLE, KeyScope.ALL, 0, 2 * SECOND, 20 * SECOND, 1, 0.5,
                         false)));
     }
--- a/src/test/java/drumdeal/SimulatedFleet.java
+++ b/src/test/java/drumdeal/SimulatedFleet.java
@@ -19,9 +19,9 @@
     private long nextId;
 
     /** A fleet of {@code size} relays; {@code factory} creates each of them from its number, which counts from 0. */
-    SimulatedFleet(int size, long randomSeed, IntFunction<SimulatedRelay> relay) {
+    SimulatedFleet(int size, long randomSeed, IntFunction<SimulatedRelay> factory) {
         for (int i = 0; i < size; i++) {
-            relays.add(relay.apply(i));
+            relays.add(factory.apply(i));
         }
         random = new SplittableRandom(randomSeed);
         forwardedCounts = new int[size];
--- a/src/test/java/drumdeal/SimulatedRelay.java
+++ b/src/test/java/drumdeal/SimulatedRelay.java
@@ -91,28 +91,28 @@
     }
 
     /** As {@link #settings()}, with other limits on calls in flight and on open requests. */
-    static Policy.Settings settings(int slots, int maxOpen) {
-        return settings(slots, maxOpen, false);
+    static Policy.Settings settings(int callSlots, int maxOpenRequests) {
+        return settings(callSlots, maxOpenRequests, false);
     }
 
     /** As above; with {@code mustSubscribe} the module has to subscribe to changes of the route list. */
-    static Policy.Settings settings(int slots, int maxOpen, boolean mustSubscribe) {
-        return settings(7, 2, slots, maxOpen, mustSubscribe, false);
+    static Policy.Settings settings(int callSlots, int maxOpenRequests, boolean mustSubscribe) {
+        return settings(7, 2, callSlots, maxOpenRequests, mustSubscribe, false);
     }
 
     /** As {@link #settings()}, for one relay of a fleet; {@code seed} determines its random decisions. */
-    static Policy.Settings fleetSettings(int size, long seed) {
-        return settings(seed, size, 10, 100, false, false);
+    static Policy.Settings fleetSettings(int fleetSize, long seed) {
+        return settings(seed, fleetSize, 10, 100, false, false);
     }
 
     /** As {@link #settings()}, for the first relay of a fleet whose relays may send notes to one another. */
-    static Policy.Settings settingsWithPeers(int size) {
-        return settings(7, size, 10, 100, false, true);
+    static Policy.Settings settingsWithPeers(int fleetSize) {
+        return settings(7, fleetSize, 10, 100, false, true);
     }
 
-    private static Policy.Settings settings(long seed, int fleet, int slots, int maxOpen,
-            boolean mustSubscribe, boolean peers) {
-        return new Policy.Settings(seed, 0, fleet, "east",
+    private static Policy.Settings settings(long seed, int fleetSize, int callSlots, int maxOpenRequests,
+            boolean mustSubscribe, boolean mayNotifyPeers) {
+        return new Policy.Settings(seed, 0, fleetSize, "east",
                 List.of(requestClass("safe", Idempotency.REPEATABLE, false),
                         requestClass("keyed", Idempotency.BY_KEY, false),
                         requestClass("once", Idempotency.ONCE, false),
@@ -123,15 +123,15 @@
                 List.of(new Policy.DestinationKind("plain", false, 1), new Policy.DestinationKind("apart", true, 1),
                         new Policy.DestinationKind("bulk", false, 4)),
                 List.of(new Policy.Zone("east", 0), new Policy.Zone("west", 0)),
-                new Policy.Limits(slots, maxOpen, 6, true, true, peers, false, false, SECOND),
+                new Policy.Limits(callSlots, maxOpenRequests, 6, true, true, mayNotifyPeers, false, false, SECOND),
                 new Policy.ServiceRules(20 * MILLISECOND, SECOND, 2, 2 * SECOND, 0.2, 10 * SECOND, 10 * SECOND,
                         3 * SECOND),
                 1, false, mustSubscribe, Policy.RateHint.NONE, 0);
     }
 
-    private static RequestClass requestClass(String name, Idempotency repeat, boolean inOrder) {
-        return new RequestClass(name, repeat, KeyScope.ZONE, 6 * SECOND, 2 * SECOND, 20 * SECOND, 1, 0.5,
-                inOrder);
+    private static RequestClass requestClass(String name, Idempotency idempotency, boolean orderedByKey) {
+        return new RequestClass(name, idempotency, KeyScope.ZONE, 6 * SECOND, 2 * SECOND, 20 * SECOND, 1, 0.5,
+                orderedByKey);
     }
 
     /** A route in service without a listed rate. */
@@ -150,13 +150,13 @@
     }
 
     /** Reports a new request, without a key and with 20 s to its deadline. */
-    SimulatedRelay accept(long id, String type, int destination) {
-        return accept(id, type, destination, null);
+    SimulatedRelay accept(long id, String requestClassName, int destination) {
+        return accept(id, requestClassName, destination, null);
     }
 
     /** Reports a new request with 20 s to its deadline. */
-    SimulatedRelay accept(long id, String type, int destination, String key) {
-        return runRound(new Policy.RequestAccepted(id, type, null, key, now + 20 * SECOND, destination));
+    SimulatedRelay accept(long id, String requestClassName, int destination, String key) {
+        return runRound(new Policy.RequestAccepted(id, requestClassName, null, key, now + 20 * SECOND, destination));
     }
 
     /** Reports events to the module in one round at the current time. */
@@ -166,17 +166,17 @@
     }
 
     /** Moves the clock forward by {@code micros}; each timer fires in a round of its own when it is due. */
-    SimulatedRelay advance(long span) {
-        long end = now + span;
+    SimulatedRelay advance(long micros) {
+        long end = now + micros;
         while (true) {
-            long[] next = timers.stream().min((a, b) -> Long.compare(a[0], b[0])).orElse(null);
-            if (next == null || next[0] > end) {
+            long[] nextTimer = timers.stream().min((a, b) -> Long.compare(a[0], b[0])).orElse(null);
+            if (nextTimer == null || nextTimer[0] > end) {
                 now = end;
                 return this;
             }
-            timers.remove(next);
-            now = Math.max(now, next[0]);
-            runRound(new Policy.TimerFired(next[1]));
+            timers.remove(nextTimer);
+            now = Math.max(now, nextTimer[0]);
+            runRound(new Policy.TimerFired(nextTimer[1]));
         }
     }
 
@@ -190,11 +190,11 @@
      *
      * @param retryAfter retry-after time of the answer in microseconds; 0 for none
      */
-    SimulatedRelay answer(long id, Result result, long toldWait) {
+    SimulatedRelay answer(long id, Result result, long retryAfter) {
         SentAttempt attempt = unanswered.stream().filter(s -> s.id() == id).findFirst().orElseThrow();
         unanswered.remove(attempt);
         return runRound(new Policy.AttemptEnded(id, attempt.attempt(), attempt.route(), result, result == Result.OK,
-                toldWait, now - attempt.sentAt(), LimitReport.NONE));
+                retryAfter, now - attempt.sentAt(), LimitReport.NONE));
     }
 
     /** Number of attempts of a request. */
@@ -210,8 +210,8 @@
     }
 
     @Override
-    public void startAttempt(long id, String route, long timeout, long until) {
-        latestSendTimes.add(until);
+    public void startAttempt(long id, String route, long timeout, long latestSendTime) {
+        latestSendTimes.add(latestSendTime);
         startAttempt(id, route, timeout);
     }
 
@@ -231,8 +231,8 @@
     }
 
     @Override
-    public void setTimer(long name, long delay) {
-        timers.add(new long[] {now + Math.max(1, delay), name});
+    public void setTimer(long timer, long delay) {
+        timers.add(new long[] {now + Math.max(1, delay), timer});
     }
 
     @Override
--- a/src/test/java/drumdeal/SimulatorAdapterTest.java
+++ b/src/test/java/drumdeal/SimulatorAdapterTest.java
@@ -43,12 +43,12 @@
     }
 
     @Test
-    void emptyBatchIsAnsweredByItsNumber() throws IOException {
+    void replyToAnEmptyBatchRepeatsItsNumber() throws IOException {
         assertEquals("{\"n\":4,\"groups\":[]}\n", runBatches("{\"t-s\":8.4,\"n\":4,\"groups\":[]}"));
     }
 
     @Test
-    void settingsAreReadAndUnknownKeysIgnored() throws IOException {
+    void settingsAreReadAndUnknownKeysAreIgnored() throws IOException {
         runBatches(batchJson(LAUNCH_MESSAGE));
         Policy.Settings settings = startedSettings.get(0);
         assertEquals(new Policy.DestinationKind("k", true, 5), settings.kinds().get(0));
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void eventsAreTranslated() throws IOException {
+    void messagesAreConvertedToEvents() throws IOException {
         runBatches(batchJson(LAUNCH_MESSAGE, "[\"directory\",0,[[\"k\",\"LAME\",\"x\",null,\"h\",7,1.5]]]",
                 "[\"discovery\",\"cached\",4,0]", "[\"job-in\",8,\"c\",null,\"ord\",9.25,null,7,1,\"later\"]",
                 "[\"outcome\",8,300,false,\"full\",0,\"h\",0.02,{\"x0\":0.5,\"x1\":2,\"other\":1}]"));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void listNumberReusedInOneBatchIsResolvedInOrder() throws IOException {
+    void reusedRouteListNumberRefersToTheListReceivedLast() throws IOException {
         runBatches(batchJson(LAUNCH_MESSAGE, "[\"directory\",0,[[\"k\",\"IN\",\"x\",null,\"a\",7,1]]]",
                 "[\"discovery\",\"cached\",4,0]", "[\"directory\",0,[]]", "[\"discovery\",\"full\",5,0]"));
         assertEquals(1, ((Policy.RouteListUpdate) receivedEvents.get(0)).routes().size());
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void deathAndStartInOneBatchForgetTheOldLife() throws IOException {
+    void detachAndLaunchInOneBatchDiscardEarlierEvents() throws IOException {
         runBatches(batchJson(LAUNCH_MESSAGE),
                 batchJson("[\"reminder\",1]", "[\"detach\"]", LAUNCH_MESSAGE, "[\"reminder\",2]"));
         assertEquals(2, startedSettings.size());
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void failureOfTheModuleIsReported() throws IOException {
+    void exceptionOfTheModuleIsReported() throws IOException {
         StringWriter out = new StringWriter();
         new SimulatorAdapter(settings -> (now, events, actions) -> {
             throw new IllegalStateException("broken");
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void malformedInputIsNamed() {
+    void errorSaysWhichInputIsMalformed() {
         assertErrorContains("line 1: not JSON", "{\"t-s\":");
         assertErrorContains("line 1: batch: value n must be a whole number", "{\"t-s\":1,\"groups\":[]}");
         assertErrorContains("unknown event nonsense", batchJson(LAUNCH_MESSAGE, "[\"nonsense\",1]"));
@@ -117,9 +117,9 @@
     }
 
     /** Checks that the adapter rejects an input with a message that contains a text. */
-    private void assertErrorContains(String part, String line) {
+    private void assertErrorContains(String expected, String input) {
         JsonDataException thrown = assertThrows(JsonDataException.class,
-                () -> new SimulatorAdapter(DeliveryPolicy::new).run(new StringReader(line), new StringWriter()));
-        assertTrue(thrown.getMessage().contains(part), thrown.getMessage());
+                () -> new SimulatorAdapter(DeliveryPolicy::new).run(new StringReader(input), new StringWriter()));
+        assertTrue(thrown.getMessage().contains(expected), thrown.getMessage());
     }
 }
