--- a/src/test/java/drumdeal/DeliveryPolicyTest.java
+++ b/src/test/java/drumdeal/DeliveryPolicyTest.java
@@ -39,7 +39,7 @@
             relay.accept(id, "safe", 1).advance(100 * MILLISECOND).answer(id, Result.OK);
         }
         long callsToA = relay.sent.stream().filter(s -> s.route().equals("a")).count();
-        assertTrue(callsToA > 60 && callsToA < 160, "on one route: " + callsToA);
+        assertTrue(callsToA > 60 && callsToA < 160, "calls to route a: " + callsToA);
     }
 
     @Test
@@ -75,7 +75,7 @@
                 .accept(4, "safe", 2).answer(4, Result.OK).advance(4 * SECOND);
         assertEquals(List.of(Long.MAX_VALUE, Long.MAX_VALUE, expiresAt, Long.MAX_VALUE), staleRelay.latestSendTimes);
         staleRelay.accept(5, "safe", 1).accept(6, "safe", 2);
-        assertEquals(0, staleRelay.countSends(5), "what this route served had been sent before there was news");
+        assertEquals(0, staleRelay.countSends(5), "route a has served only a call sent before the list became stale");
         assertEquals(1, staleRelay.countSends(6));
         staleRelay.receiveListChanges();
         assertEquals(1, staleRelay.countSends(5));
@@ -96,7 +96,7 @@
         relay.accept(10, "safe", 2).accept(11, "safe", 2).advance(500 * MILLISECOND);
         assertEquals(0, relay.countSends(10) + relay.countSends(11));
         relay.advance(6 * SECOND);
-        assertEquals(1, relay.countSends(10) + relay.countSends(11), "one test only");
+        assertEquals(1, relay.countSends(10) + relay.countSends(11), "one trial only");
         relay.answer(relay.unanswered.get(0).id(), Result.OK).advance(5 * SECOND);
         assertEquals(2, relay.countSends(10) + relay.countSends(11));
     }
@@ -135,7 +135,7 @@
         SimulatedRelay oneSlotRelay = new SimulatedRelay(SimulatedRelay.settings(1, 100))
                 .receiveFullList(route("c", 2, "apart", "east"), route("a", 1, "plain", "east"));
         oneSlotRelay.accept(1, "once", 2).advance(10 * SECOND);
-        assertTrue(oneSlotRelay.cancelled.isEmpty(), "nobody wants its slot");
+        assertTrue(oneSlotRelay.cancelled.isEmpty(), "no other request needs its slot");
         oneSlotRelay.accept(2, "safe", 1);
         assertEquals(List.of(1L), oneSlotRelay.cancelled);
     }
@@ -152,7 +152,7 @@
             oneSlotRelay.advance(2 * SECOND).answer(oneSlotRelay.unanswered.get(0).id(), Result.OK);
         }
         oneSlotRelay.accept(40, "once", 1).advance(3 * SECOND).accept(41, "once", 1);
-        assertTrue(oneSlotRelay.refused.size() > 10, "so many ran out of time: " + oneSlotRelay.refused.size());
+        assertTrue(oneSlotRelay.refused.size() > 10, "rejected at their deadline: " + oneSlotRelay.refused.size());
         oneSlotRelay.answer(oneSlotRelay.unanswered.get(0).id(), Result.OK);
         assertEquals(1, oneSlotRelay.countSends(41));
         assertEquals(0, oneSlotRelay.countSends(40));
@@ -228,7 +228,7 @@
                     .advance(10 * SECOND);
             trials += fleetRelay.sent.size() - 1;
         }
-        assertTrue(trials < 50, "tests of 100 relays in ten seconds: " + trials);
+        assertTrue(trials < 50, "trials of 100 relays in ten seconds: " + trials);
     }
 
     /** Relays that are refused at the same time and retry at the same time would exceed the limit again. */
@@ -241,7 +241,7 @@
             fleetRelay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.FULL).advance(7 * SECOND);
             retries += fleetRelay.sent.size() - 1;
         }
-        assertTrue(retries > 20 && retries < 80, "back within seven seconds: " + retries);
+        assertTrue(retries > 20 && retries < 80, "retried within seven seconds: " + retries);
     }
 
     /**
@@ -253,7 +253,7 @@
         SimulatedRelay fleetRelay = new SimulatedRelay(SimulatedRelay.fleetSettings(100, 7))
                 .receiveFullList(route("c", 2, "apart", "east")).advance(40 * SECOND);
         fleetRelay.accept(1, "safe", 2).advance(SECOND / 2).answer(1, Result.FULL).advance(8 * SECOND);
-        assertEquals(1, fleetRelay.sent.size(), "one call in ten seconds was too many");
+        assertEquals(1, fleetRelay.sent.size(), "one call in ten seconds already exceeded the limit");
         fleetRelay.advance(20 * SECOND);
         assertEquals(2, fleetRelay.sent.size());
     }
@@ -283,7 +283,7 @@
             double interval = fleetRelay.sent.get(i).sentAt() - fleetRelay.sent.get(i - 1).sentAt();
             double previousInterval = fleetRelay.sent.get(i - 1).sentAt() - fleetRelay.sent.get(i - 2).sentAt();
             assertTrue(previousInterval / interval < 1.4,
-                    "from one call in " + previousInterval + " us to one in " + interval);
+                    "call intervals in us: " + previousInterval + ", then " + interval);
         }
     }
 
@@ -299,7 +299,7 @@
         }
         long intervalAfterGrowth = measureSendSpacing(50);
         assertTrue(intervalAfterCut > 100 * MILLISECOND && intervalAfterGrowth < intervalAfterCut / 2,
-                "cut " + intervalAfterCut + ", regrown " + intervalAfterGrowth);
+                "interval in us after the cut " + intervalAfterCut + ", after growth " + intervalAfterGrowth);
     }
 
     /** Sends two requests, {@code id} and the next one, and returns the microseconds between their sends. */
@@ -329,7 +329,7 @@
         }
         int sentAfterCut = relay.sent.size() - sentBefore;
         assertTrue(sentAfterCut > 6,
-                "twenty a second were served, sent after the cut: " + sentAfterCut + " in 1.5 s");
+                "twenty calls a second were served; sent after the cut: " + sentAfterCut + " in 1.5 s");
     }
 
     @Test
@@ -365,7 +365,7 @@
             List.copyOf(relay.unanswered).forEach(s -> relay.answer(s.id(), Result.OK));
         }
         assertTrue(relay.sent.size() - sentBefore <= 2,
-                "sent on release: " + (relay.sent.size() - sentBefore));
+                "sent within two seconds after recovery: " + (relay.sent.size() - sentBefore));
     }
 
     @Test
@@ -430,7 +430,7 @@
     void retryAfterOfAnyRequestInABatchIsHonoured() {
         relay.accept(1, "safe", 3).advance(MILLISECOND).answer(1, Result.FULL);
         relay.accept(2, "safe", 3).accept(3, "safe", 3).advance(1100 * MILLISECOND);
-        assertEquals(4, relay.sent.size(), "three in one call");
+        assertEquals(4, relay.sent.size(), "requests 1 to 3 in one call");
         relay.answer(1, Result.FULL).answer(2, Result.FULL, 2 * SECOND).advance(1990 * MILLISECOND);
         assertEquals(4, relay.sent.size());
     }
@@ -449,7 +449,7 @@
         assertEquals(List.of(), relay.failed);
         relay.advance(200 * MILLISECOND);
         assertEquals(List.of(1L), relay.failed, "no attempt is allowed any more");
-        assertEquals(List.of(), relay.refused, "its client would hand it in again");
+        assertEquals(List.of(), relay.refused, "a rejection would make the client submit it again");
     }
 
     @Test
@@ -482,7 +482,7 @@
         assertEquals(0, relay.countSends(2));
         relay.answer(1, Result.TIMEOUT).advance(10 * MILLISECOND)
                 .answer(1, Result.OK).advance(2900 * MILLISECOND);
-        assertEquals(0, relay.countSends(2), "the key rests");
+        assertEquals(0, relay.countSends(2), "the key is paused");
         relay.advance(200 * MILLISECOND);
         assertEquals(1, relay.countSends(2));
     }
@@ -523,7 +523,7 @@
         }
         long callsInOwnZone = relay.sent.stream().filter(s -> s.route().equals("a")).count();
         assertTrue(callsInOwnZone > 200 && callsInOwnZone < 260,
-                "near: " + callsInOwnZone);
+                "calls to the route in the own zone: " + callsInOwnZone);
     }
 
     /** Slow routes would occupy slots in which fast ones could serve several calls. */
@@ -539,9 +539,9 @@
         }
         long[] withScarceSlots = countCallsPerRoute(busyRelay, 1000);
         assertTrue(withFreeSlots[1] * 3 > withFreeSlots[0],
-                "drawn by score: " + withFreeSlots[0] + " to " + withFreeSlots[1]);
+                "free slots, calls to fast and slow route: " + withFreeSlots[0] + " to " + withFreeSlots[1]);
         assertTrue(withScarceSlots[1] * 3 < withScarceSlots[0],
-                "by score over time: " + withScarceSlots[0] + " to " + withScarceSlots[1]);
+                "scarce slots, calls to fast and slow route: " + withScarceSlots[0] + " to " + withScarceSlots[1]);
     }
 
     /**
@@ -612,7 +612,7 @@
         long grants = coordinator.sentNotes.stream()
                 .filter(note -> note.endsWith(HexFormat.of().formatHex(noteBytes(PeerNoteType.TOKEN_GRANT, 2))))
                 .count();
-        assertTrue(grants >= 5 && grants <= 20, "turns in five seconds: " + grants);
+        assertTrue(grants >= 5 && grants <= 20, "tokens granted in five seconds: " + grants);
     }
 
     @Test
@@ -684,7 +684,7 @@
             subscriber.runRound(new Policy.RouteListUpdate(Policy.RouteListUpdateType.FAILED, 0, List.of()))
                     .advance(10 * SECOND);
             assertEquals(failure + 1, subscriber.subscribedAt.size(),
-                    "asked within the rule's span");
+                    "subscribed again within the allowed discovery interval");
         }
     }
 
@@ -770,9 +770,9 @@
                         route("e", 4, "plain", "east"));
         twoSlotRelay.accept(1, "safe", 1).accept(2, "once", 3).advance(MILLISECOND)
                 .accept(3, "safe", 4).advance(1200 * MILLISECOND);
-        assertTrue(twoSlotRelay.cancelled.isEmpty(), "the usual response is not known to be short yet");
+        assertTrue(twoSlotRelay.cancelled.isEmpty(), "five times the initial response estimate has not passed");
         twoSlotRelay.advance(900 * MILLISECOND);
-        assertEquals(List.of(1L), twoSlotRelay.cancelled, "the other may be sent once");
+        assertEquals(List.of(1L), twoSlotRelay.cancelled, "request 2 must not be retried");
     }
 
     @Test
@@ -829,7 +829,7 @@
         successor.now = relay.now;
         successor.runRound(new Policy.LearnedStateRestored(relay.module().encodeLearnedState(), 7));
         successor.accept(20, "safe", 2).accept(21, "safe", 1).accept(22, "safe", 3).advance(MILLISECOND);
-        assertEquals(0, successor.countSends(20), "the wait told to the other process holds");
+        assertEquals(0, successor.countSends(20), "the retry-after time received by the predecessor applies");
         assertEquals(0, successor.countSends(21), "the circuit stays open");
         assertEquals(1, successor.countSends(22));
         assertEquals(successor.module().countUnavailableRoutes(successor.now), 2);
@@ -864,12 +864,12 @@
     void crowdedRouteIsLeftAloneBrieflyWithoutACutOfThePacingRate() {
         makeFrequentCalls();
         relay.accept(300, "safe", 2).advance(MILLISECOND).answer(300, Result.CROWDED);
-        assertEquals(1, relay.countSends(300), "not at once");
+        assertEquals(1, relay.countSends(300), "not retried at once");
         relay.advance(SECOND);
         assertEquals(2, relay.countSends(300));
         relay.answer(300, Result.OK).sent.clear();
         relay.accept(301, "safe", 2).accept(302, "safe", 2).accept(303, "safe", 2);
-        assertEquals(3, relay.sent.size(), "no pace holds them");
+        assertEquals(3, relay.sent.size(), "no pacing rate delays them");
         assertTrue(relay.logLines.isEmpty(), relay.logLines.toString());
     }
 
@@ -889,7 +889,7 @@
         servedRelay.accept(100, "safe", 1).advance(50 * MILLISECOND).answer(100, Result.FULL).advance(SECOND);
         long sends = countSendsInOneSecond(servedRelay, 200);
         assertTrue(sends >= 14 && sends < 30,
-                "twenty a second were served and one was refused, sent: " + sends);
+                "twenty calls a second were served and one was refused, sent: " + sends);
     }
 
     /**
@@ -938,7 +938,7 @@
         }
         long sendsInSecondHalf = fleetRelay.sent.size() - sendsInFirstHalf;
         assertTrue(sendsInSecondHalf <= 7,
-                "calls of one in fourteen in the second five seconds: " + sendsInSecondHalf);
+                "calls of one relay of fourteen in the second five seconds: " + sendsInSecondHalf);
     }
 
     /** A relay that route a has served twenty calls a second for three seconds. */
--- a/src/test/java/drumdeal/FleetSlowStartTest.java
+++ b/src/test/java/drumdeal/FleetSlowStartTest.java
@@ -64,8 +64,8 @@
                 double allowed = allowedCalls(capacity, now);
                 if (recentSendTimes.size() / allowed > highestLoad) {
                     highestLoad = recentSendTimes.size() / allowed;
-                    highestLoadText = recentSendTimes.size() + " calls of " + allowed
-                            + ", ms after the return: " + (now - OUTAGE_END_MICROS) / MILLISECOND;
+                    highestLoadText = recentSendTimes.size() + " calls in a window, allowed " + allowed
+                            + ", ms after the outage: " + (now - OUTAGE_END_MICROS) / MILLISECOND;
                 }
             }
         }
--- a/src/test/java/drumdeal/RandomEventsTest.java
+++ b/src/test/java/drumdeal/RandomEventsTest.java
@@ -38,7 +38,7 @@
             checker.step();
         }
         checker.runToCompletion();
-        assertTrue(checker.answeredCount > 500, "answered " + checker.answeredCount);
+        assertTrue(checker.answeredCount > 500, "ended requests: " + checker.answeredCount);
         assertEquals(checker.requestsById.size(), checker.answeredCount);
     }
 
@@ -199,7 +199,7 @@
             // The clock moves in steps of less than 60 ms, so timers fire late and requests may end after the deadline.
             requestsById.forEach((id, request) -> assertTrue(
                     request.ended || now <= request.deadline + 80 * MILLISECOND,
-                    "request " + id + " is overdue"));
+                    "request " + id + " has not ended by its deadline"));
         }
 
         /** Runs until all requests are beyond their deadlines. */
@@ -220,13 +220,13 @@
         public void startAttempt(long id, String route, long timeout) {
             TrackedRequest request = requestsById.get(id);
             Policy.ListedRoute entry = listedRoutes.get(route);
-            assertFalse(request.ended, "sent after its end");
+            assertFalse(request.ended, "attempt after the request ended");
             assertEquals(request.destination, entry.destination());
             assertTrue(request.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
             assertTrue(unlistedAt.getOrDefault(route, now) + settings.rules().drainGraceMicros() >= now,
-                    "drain");
+                    "attempt to a route after its drain grace");
             assertTrue(groupBlockedUntil.getOrDefault(groupOf(route), now) <= now,
-                    "wait");
+                    "attempt before the end of the retry-after time");
             checkRepeat(request, entry);
             checkOrder(id, request);
             TrackedAttempt attempt = new TrackedAttempt();
@@ -240,17 +240,17 @@
         /** Checks that the earlier attempts of a request allow another one to a route. */
         void checkRepeat(TrackedRequest request, Policy.ListedRoute entry) {
             for (TrackedAttempt earlier : request.attempts) {
-                assertTrue(earlier.result != null, "two attempts out");
+                assertTrue(earlier.result != null, "two attempts in flight");
                 if (RESULTS_WITHOUT_EFFECT.contains(earlier.result)) {
                     continue;
                 }
                 assertTrue(request.requestClass.idempotency() != Idempotency.ONCE,
-                        "once sent again");
+                        "second attempt of a once request that may have taken effect");
                 if (request.requestClass.idempotency() == Idempotency.BY_KEY) {
                     assertEquals(listedRoutes.get(earlier.route).zone(), entry.zone(),
-                            "outside the key's zone");
+                            "retry outside the zone of the key");
                     assertTrue(now <= earlier.sentAt + request.requestClass.dedupWindowMicros(),
-                            "outside the key's window");
+                            "retry outside the dedup window of the key");
                 }
             }
         }
@@ -264,26 +264,26 @@
                 TrackedRequest earlier = other.getValue();
                 if (other.getKey() < id && request.key.equals(earlier.key)) {
                     assertTrue(earlier.ended && earlier.attempts.stream().allMatch(attempt -> attempt.result != null),
-                            "order");
+                            "attempt before an earlier request of its key ended");
                 }
             }
             if (request.attempts.isEmpty()) {
                 assertTrue(keyBlockedUntil.getOrDefault(request.key, now) <= now,
-                        "order pause");
+                        "attempt during the pause of its key");
             }
         }
 
         /** Ends a request by a rejection or a failure; a rejection tells the client that it may submit it again. */
         void endRequest(long id, boolean rejected) {
             TrackedRequest request = requestsById.get(id);
-            assertFalse(request.ended, "two final answers");
+            assertFalse(request.ended, "request ended twice");
             request.ended = true;
             answeredCount++;
             boolean mayHaveTakenEffect = request.attempts.stream()
                     .anyMatch(attempt -> attempt.result == null || !RESULTS_WITHOUT_EFFECT.contains(attempt.result));
             if (rejected && mayHaveTakenEffect) {
                 assertEquals(Idempotency.REPEATABLE, request.requestClass.idempotency(),
-                        "refused though it may have run");
+                        "rejected though it may have taken effect");
             }
         }
 
--- a/src/test/java/drumdeal/ResumptionTest.java
+++ b/src/test/java/drumdeal/ResumptionTest.java
@@ -124,7 +124,7 @@
     void missingDestinationCausesAListFetchAndIsCalledOnceListed() {
         resumeMessages(1, 4 * SECOND).advance(SECOND);
         assertEquals(0, countTried());
-        assertTrue(relay.listFetchCount > 0, "the list is asked for");
+        assertTrue(relay.listFetchCount > 0, "the whole list is requested");
         listRoutes(relay);
         advanceAndAnswer(6 * SECOND, 100 * MILLISECOND, Result.OK);
         assertEquals(MESSAGE_COUNT, countTried());
@@ -165,7 +165,7 @@
         relay.runRound(new Policy.RequestAccepted(1, "once", null, null, relay.now + 3 * SECOND, 1),
                 new Policy.RequestAccepted(2, "once", null, null, relay.now + 6 * SECOND, 1));
         assertEquals(List.of(1L), relay.refused,
-                "told at once, and the other is left to the next process");
+                "request 1 is rejected at once, request 2 is left to the next process");
         assertEquals(0, relay.sent.size());
     }
 }
--- a/src/test/java/drumdeal/ShortDeadlineTest.java
+++ b/src/test/java/drumdeal/ShortDeadlineTest.java
@@ -45,7 +45,7 @@
         relay.runRound(new Policy.RequestAccepted(1, "brief", null, "k", relay.now + DEADLINE_MICROS, 1));
         SimulatedRelay.SentAttempt firstAttempt = relay.sent.get(0);
         assertTrue(firstAttempt.timeout() > 0 && firstAttempt.timeout() <= DEADLINE_MICROS * 3 / 4,
-                "waits for ms: " + firstAttempt.timeout() / MILLISECOND);
+                "timeout in ms: " + firstAttempt.timeout() / MILLISECOND);
         relay.advance(firstAttempt.timeout());
         relay.answer(1, Result.TIMEOUT);
         assertTrue(relay.sent.size() == 2 && !relay.sent.get(1).route().equals(firstAttempt.route()),
@@ -96,7 +96,7 @@
             advanceAndAnswer(relay, 100 * MILLISECOND, false);
         }
         assertTrue(relay.logLines.stream().anyMatch(line -> line.startsWith("out: a")), relay.logLines.toString());
-        assertTrue(relay.sent.size() < 60, "calls to a silent route: " + relay.sent.size());
+        assertTrue(relay.sent.size() < 60, "calls to an unresponsive route: " + relay.sent.size());
         for (int i = 0; i < 100; i++) {
             relay.runRound(new Policy.RequestAccepted(id++, "brief", null, "k", relay.now + DEADLINE_MICROS, 1));
             advanceAndAnswer(relay, 100 * MILLISECOND, true);
