--- a/src/test/java/drumdeal/ResumptionTest.java
+++ b/src/test/java/drumdeal/ResumptionTest.java
@@ -13,56 +13,71 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** What a restart finds taken on and untried is still tried, whatever it comes back to. */
+/**
+ * Tests that requests resumed after a restart, for which no attempt was made, get one before their deadline. Neither
+ * the restored state nor an old route list nor new requests may prevent it.
+ */
 class ResumptionTest {
     private static final int MESSAGE_COUNT = 40;
 
     private final SimulatedRelay relay = new SimulatedRelay(SimulatedRelay.settings(10, 50));
 
-    private SimulatedRelay listRoutes(SimulatedRelay one) {
-        return one.receiveFullList(route("a", 1, "plain", "east"), route("b", 1, "plain", "west"), route("c", 2, "apart", "east"));
+    /** Lists two routes that share the limit of destination 1 and a route of destination 2. */
+    private SimulatedRelay listRoutes(SimulatedRelay target) {
+        return target.receiveFullList(route("a", 1, "plain", "east"), route("b", 1, "plain", "west"),
+                route("c", 2, "apart", "east"));
     }
 
-    /** A whole journal of untried messages, with a little more time left for each. */
-    private SimulatedRelay resumeMessages(int destination, long left) {
-        return resumeMessages(destination, left, 0, MESSAGE_COUNT);
+    /** As below, for the ids 0 to 39. */
+    private SimulatedRelay resumeMessages(int destination, long timeLeft) {
+        return resumeMessages(destination, timeLeft, 0, MESSAGE_COUNT);
     }
 
-    private SimulatedRelay resumeMessages(int destination, long left, int from, int to) {
+    /**
+     * Resumes the requests with the ids {@code from} to {@code to - 1}, for which no attempt was made. The deadline of
+     * request 0 is {@code timeLeft} microseconds from now, that of each further one 50 ms later.
+     */
+    private SimulatedRelay resumeMessages(int destination, long timeLeft, int from, int to) {
         List<Policy.Event> events = new ArrayList<>();
         for (int id = from; id < to; id++) {
-            long deadline = relay.now + left + id * 50 * MILLISECOND;
-            String type = List.of("safe", "keyed", "once").get(id % 3);
-            events.add(new Policy.RequestResumed(new Policy.RequestAccepted(id, type, null, null, deadline, destination), List.of()));
+            long deadline = relay.now + timeLeft + id * 50 * MILLISECOND;
+            String requestClassName = List.of("safe", "keyed", "once").get(id % 3);
+            events.add(new Policy.RequestResumed(
+                    new Policy.RequestAccepted(id, requestClassName, null, null, deadline, destination), List.of()));
         }
         return relay.runRound(events.toArray(Policy.Event[]::new));
     }
 
-    /** Lets time pass, with an answer a while after each call. */
-    private void advanceAndAnswer(long span, long after, Result result) {
-        for (long end = relay.now + span; relay.now < end;) {
+    /** Moves the clock forward by {@code micros}; each attempt ends with {@code result} after its response time. */
+    private void advanceAndAnswer(long micros, long responseTime, Result result) {
+        for (long end = relay.now + micros; relay.now < end;) {
             relay.advance(10 * MILLISECOND);
-            List.copyOf(relay.unanswered).stream().filter(sent -> relay.now - sent.sentAt() >= after)
+            List.copyOf(relay.unanswered).stream().filter(sent -> relay.now - sent.sentAt() >= responseTime)
                     .forEach(sent -> relay.answer(sent.id(), result));
         }
     }
 
+    /** Number of resumed requests for which an attempt was made. */
     private long countTried() {
-        return relay.sent.stream().map(SimulatedRelay.SentAttempt::id).filter(id -> id < MESSAGE_COUNT).distinct().count();
+        return relay.sent.stream().map(SimulatedRelay.SentAttempt::id).filter(id -> id < MESSAGE_COUNT).distinct()
+                .count();
     }
 
+    /** The pacing rate learned before the restart would delay most of the requests beyond their deadlines. */
     @Test
-    void allAreTriedWhereAPaceComesBackThatWouldHoldThemBeyondTheirTime() {
-        SimulatedRelay before = listRoutes(new SimulatedRelay(SimulatedRelay.fleetSettings(100, 3)));
+    void resumedRequestsAreTriedDespiteALowRestoredPacingRate() {
+        SimulatedRelay predecessor = listRoutes(new SimulatedRelay(SimulatedRelay.fleetSettings(100, 3)));
         for (int id = 100; id < 110; id++) {
-            before.accept(id, "safe", 2);
-            if (before.countSends(id) > 0) {
-                before.answer(id, Result.FULL);
+            predecessor.accept(id, "safe", 2);
+            if (predecessor.countSends(id) > 0) {
+                predecessor.answer(id, Result.FULL);
             }
-            before.advance(SECOND);
+            predecessor.advance(SECOND);
         }
-        relay.now = before.now;
-        listRoutes(relay).runRound(new Policy.LearnedStateRestored(before.module().encodeLearnedState(), 0), new Policy.PredecessorEnded());
+        relay.now = predecessor.now;
+        listRoutes(relay).runRound(
+                new Policy.LearnedStateRestored(predecessor.module().encodeLearnedState(), 0),
+                new Policy.PredecessorEnded());
         resumeMessages(2, 6 * SECOND);
         advanceAndAnswer(9 * SECOND, 100 * MILLISECOND, Result.OK);
         assertTrue(countTried() > MESSAGE_COUNT / 2, "tried " + countTried());
@@ -70,49 +85,60 @@
                 + ", given up uncalled " + (MESSAGE_COUNT - countTried())), relay.logLines.toString());
     }
 
+    /**
+     * The circuit was open before the restart and stays open, as all calls fail. Trials alone would reach only few
+     * of the requests before their deadlines.
+     */
     @Test
-    void allAreTriedAtACircuitThatComesBackOpen() {
-        SimulatedRelay before = listRoutes(new SimulatedRelay(SimulatedRelay.settings(10, 50)));
+    void resumedRequestsAreTriedDespiteARestoredOpenCircuit() {
+        SimulatedRelay predecessor = listRoutes(new SimulatedRelay(SimulatedRelay.settings(10, 50)));
         for (int id = 100; id < 112; id++) {
-            before.accept(id, "safe", 1).accept(id + 100, "safe", 1).advance(200 * MILLISECOND);
-            List.copyOf(before.unanswered).forEach(sent -> before.answer(sent.id(), Result.CONNECT_FAILED));
+            predecessor.accept(id, "safe", 1).accept(id + 100, "safe", 1).advance(200 * MILLISECOND);
+            List.copyOf(predecessor.unanswered)
+                    .forEach(sent -> predecessor.answer(sent.id(), Result.CONNECT_FAILED));
         }
-        assertTrue(before.logLines.toString().contains("out: "), before.logLines.toString());
-        relay.now = before.now;
-        listRoutes(relay).runRound(new Policy.LearnedStateRestored(before.module().encodeLearnedState(), 0), new Policy.PredecessorEnded());
+        assertTrue(predecessor.logLines.toString().contains("out: "), predecessor.logLines.toString());
+        relay.now = predecessor.now;
+        listRoutes(relay).runRound(
+                new Policy.LearnedStateRestored(predecessor.module().encodeLearnedState(), 0),
+                new Policy.PredecessorEnded());
         resumeMessages(1, 15 * SECOND, 0, MESSAGE_COUNT / 2);
         advanceAndAnswer(18 * SECOND, 100 * MILLISECOND, Result.CONNECT_FAILED);
         assertTrue(countTried() > MESSAGE_COUNT / 4, "tried " + countTried());
     }
 
+    /** Unlike a new request, a resumed one is tried even if its answer would probably come too late. */
     @Test
-    void littleTimeLeftIsTimeForATry() {
+    void resumedRequestsAreTriedEvenShortlyBeforeTheirDeadlines() {
         listRoutes(relay);
         for (int id = 0; id < 6; id++) {
-            relay.runRound(new Policy.RequestResumed(new Policy.RequestAccepted(id, "once", null, null, relay.now + 50 * MILLISECOND + id, 1), List.of()));
+            relay.runRound(new Policy.RequestResumed(
+                    new Policy.RequestAccepted(id, "once", null, null, relay.now + 50 * MILLISECOND + id, 1),
+                    List.of()));
         }
         assertEquals(6, countTried());
     }
 
+    /** The list from before the restart may lack the destination, and the next regular update may come too late. */
     @Test
-    void destinationThatTheOldListLacksIsAskedForAtOnceAndTriedOnceItIsKnown() {
+    void missingDestinationCausesAListFetchAndIsCalledOnceListed() {
         resumeMessages(1, 4 * SECOND).advance(SECOND);
         assertEquals(0, countTried());
-        assertTrue(relay.listFetchCount > 0, "the list is asked for");
+        assertTrue(relay.listFetchCount > 0, "the whole list is requested");
         listRoutes(relay);
         advanceAndAnswer(6 * SECOND, 100 * MILLISECOND, Result.OK);
         assertEquals(MESSAGE_COUNT, countTried());
     }
 
     @Test
-    void newMessagesNeitherPushOutWhatIsOwedNorGoBeforeIt() {
+    void newRequestsNeitherEvictNorOvertakeResumedRequests() {
         listRoutes(relay);
         resumeMessages(1, 15 * SECOND);
-        Set<Long> refusedSoFar = Set.copyOf(relay.refused);
+        Set<Long> rejectedSoFar = Set.copyOf(relay.refused);
         for (int id = 1000; id < 1040; id++) {
             relay.accept(id, "quick", 1).advance(MILLISECOND);
         }
-        Set<Long> evicted = relay.refused.stream().filter(id -> id < MESSAGE_COUNT && !refusedSoFar.contains(id))
+        Set<Long> evicted = relay.refused.stream().filter(id -> id < MESSAGE_COUNT && !rejectedSoFar.contains(id))
                 .collect(Collectors.toSet());
         assertEquals(Set.of(), evicted);
         advanceAndAnswer(8 * SECOND, 100 * MILLISECOND, Result.OK);
@@ -120,7 +146,7 @@
     }
 
     @Test
-    void waitsThatWereToldAreKeptByWhatIsOwed() {
+    void resumedRequestsObserveRetryAfterTimes() {
         listRoutes(relay);
         relay.accept(500, "safe", 1).answer(500, Result.FULL, 30 * SECOND);
         resumeMessages(1, 3 * SECOND);
@@ -129,12 +155,17 @@
         assertTrue(relay.logLines.toString().contains("given up uncalled 40"), relay.logLines.toString());
     }
 
+    /**
+     * A process that shuts down sends nothing more. A request whose deadline comes before the next process can call
+     * would expire there untried.
+     */
     @Test
-    void processThatEndsHandsBackWhatTheNextOneCanNotTryInTime() {
+    void shutdownRejectsRequestsThatTheNextProcessCannotTryInTime() {
         listRoutes(relay).runRound(new Policy.ShutdownStarted());
         relay.runRound(new Policy.RequestAccepted(1, "once", null, null, relay.now + 3 * SECOND, 1),
                 new Policy.RequestAccepted(2, "once", null, null, relay.now + 6 * SECOND, 1));
-        assertEquals(List.of(1L), relay.refused, "told at once, and the other is left to the next process");
+        assertEquals(List.of(1L), relay.refused,
+                "request 1 is rejected at once, request 2 is left to the next process");
         assertEquals(0, relay.sent.size());
     }
 }
--- a/src/test/java/drumdeal/SimulatorAdapterTest.java
+++ b/src/test/java/drumdeal/SimulatorAdapterTest.java
@@ -11,17 +11,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests the conversion between the simulator's JSON lines and the events and actions of the decision module. */
 class SimulatorAdapterTest {
-    private static final String SETTINGS_JSON = "{\"me\":1,\"fleet-size\":3,\"zone\":\"x\",\"kinds\":[\"k\"],\"zones\":[\"x\"],"
+    /** Settings with a key, "later-key", that is unknown to the adapter. */
+    private static final String SETTINGS_JSON =
+            "{\"me\":1,\"fleet-size\":3,\"zone\":\"x\",\"kinds\":[\"k\"],\"zones\":[\"x\"],"
             + "\"classes\":[{\"name\":\"c\",\"repeat\":\"by_key\",\"key-scope\":\"zone\",\"goal-time-s\":1.5,"
             + "\"deadline-s\":5,\"later-key\":1}],\"family-info\":{\"call-slots\":4,\"batch-by-kind\":[5],"
             + "\"routes-apart\":[true]},\"limits\":{\"max-open\":9,\"send-cap\":3},\"contract\":{\"fall-s\":2.0},"
             + "\"fees\":{}}";
     private static final String LAUNCH_MESSAGE = "[\"launch\",9," + SETTINGS_JSON + "]";
 
+    /** Settings of the modules that were created. */
     private final List<Policy.Settings> startedSettings = new ArrayList<>();
+    /** Events that the modules received. */
     private final List<Policy.Event> receivedEvents = new ArrayList<>();
 
+    /** Processes batches, one JSON line each, and returns the replies; the modules take no action. */
     private String runBatches(String... batches) throws IOException {
         StringWriter out = new StringWriter();
         new SimulatorAdapter(settings -> {
@@ -31,17 +37,18 @@
         return out.toString();
     }
 
+    /** A batch with the messages of one instance, number 3. */
     private static String batchJson(String... messages) {
         return "{\"t-s\":2.5,\"n\":1,\"groups\":[{\"i\":3,\"in\":[" + String.join(",", messages) + "]}]}";
     }
 
     @Test
-    void emptyBatchIsAnsweredByItsNumber() throws IOException {
+    void replyToAnEmptyBatchRepeatsItsNumber() throws IOException {
         assertEquals("{\"n\":4,\"groups\":[]}\n", runBatches("{\"t-s\":8.4,\"n\":4,\"groups\":[]}"));
     }
 
     @Test
-    void settingsAreReadAndUnknownKeysIgnored() throws IOException {
+    void settingsAreReadAndUnknownKeysAreIgnored() throws IOException {
         runBatches(batchJson(LAUNCH_MESSAGE));
         Policy.Settings settings = startedSettings.get(0);
         assertEquals(new Policy.DestinationKind("k", true, 5), settings.kinds().get(0));
@@ -51,19 +58,20 @@
     }
 
     @Test
-    void eventsAreTranslated() throws IOException {
+    void messagesAreConvertedToEvents() throws IOException {
         runBatches(batchJson(LAUNCH_MESSAGE, "[\"directory\",0,[[\"k\",\"LAME\",\"x\",null,\"h\",7,1.5]]]",
                 "[\"discovery\",\"cached\",4,0]", "[\"job-in\",8,\"c\",null,\"ord\",9.25,null,7,1,\"later\"]",
                 "[\"outcome\",8,300,false,\"full\",0,\"h\",0.02,{\"x0\":0.5,\"x1\":2,\"other\":1}]"));
         assertEquals(new Policy.RouteListUpdate(Policy.RouteListUpdateType.CACHED, 4,
-                List.of(new Policy.ListedRoute("h", 7, "k", "x", Policy.Availability.DRAINING, 1.5))), receivedEvents.get(0));
+                List.of(new Policy.ListedRoute("h", 7, "k", "x", Policy.Availability.DRAINING, 1.5))),
+                receivedEvents.get(0));
         assertEquals(new Policy.RequestAccepted(8, "c", null, "ord", 9_250_000, 7), receivedEvents.get(1));
         assertEquals(new Policy.AttemptEnded(8, 0, "h", Policy.Result.FULL, false, 300_000, 20_000,
                 new Policy.LimitReport(0.5, 2)), receivedEvents.get(2));
     }
 
     @Test
-    void listNumberReusedInOneBatchIsResolvedInOrder() throws IOException {
+    void reusedRouteListNumberRefersToTheListReceivedLast() throws IOException {
         runBatches(batchJson(LAUNCH_MESSAGE, "[\"directory\",0,[[\"k\",\"IN\",\"x\",null,\"a\",7,1]]]",
                 "[\"discovery\",\"cached\",4,0]", "[\"directory\",0,[]]", "[\"discovery\",\"full\",5,0]"));
         assertEquals(1, ((Policy.RouteListUpdate) receivedEvents.get(0)).routes().size());
@@ -71,8 +79,9 @@
     }
 
     @Test
-    void deathAndStartInOneBatchForgetTheOldLife() throws IOException {
-        runBatches(batchJson(LAUNCH_MESSAGE), batchJson("[\"reminder\",1]", "[\"detach\"]", LAUNCH_MESSAGE, "[\"reminder\",2]"));
+    void detachAndLaunchInOneBatchDiscardEarlierEvents() throws IOException {
+        runBatches(batchJson(LAUNCH_MESSAGE),
+                batchJson("[\"reminder\",1]", "[\"detach\"]", LAUNCH_MESSAGE, "[\"reminder\",2]"));
         assertEquals(2, startedSettings.size());
         assertEquals(List.of(new Policy.TimerFired(2)), receivedEvents);
     }
@@ -90,7 +99,7 @@
     }
 
     @Test
-    void failureOfTheModuleIsReported() throws IOException {
+    void exceptionOfTheModuleIsReported() throws IOException {
         StringWriter out = new StringWriter();
         new SimulatorAdapter(settings -> (now, events, actions) -> {
             throw new IllegalStateException("broken");
@@ -99,7 +108,7 @@
     }
 
     @Test
-    void malformedInputIsNamed() {
+    void errorSaysWhichInputIsMalformed() {
         assertErrorContains("line 1: not JSON", "{\"t-s\":");
         assertErrorContains("line 1: batch: value n must be a whole number", "{\"t-s\":1,\"groups\":[]}");
         assertErrorContains("unknown event nonsense", batchJson(LAUNCH_MESSAGE, "[\"nonsense\",1]"));
@@ -107,9 +116,10 @@
         assertErrorContains("callSlots", batchJson(LAUNCH_MESSAGE.replace("\"call-slots\":4", "\"call-slots\":0")));
     }
 
-    private void assertErrorContains(String part, String line) {
+    /** Checks that the adapter rejects an input with a message that contains a text. */
+    private void assertErrorContains(String expected, String input) {
         JsonDataException thrown = assertThrows(JsonDataException.class,
-                () -> new SimulatorAdapter(DeliveryPolicy::new).run(new StringReader(line), new StringWriter()));
-        assertTrue(thrown.getMessage().contains(part), thrown.getMessage());
+                () -> new SimulatorAdapter(DeliveryPolicy::new).run(new StringReader(input), new StringWriter()));
+        assertTrue(thrown.getMessage().contains(expected), thrown.getMessage());
     }
 }
