--- a/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
+++ b/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void agentThatClosesItsConnectionAsTheNextCallIsWrittenIsAskedAgainAtOnce() throws IOException {
+    void watchIsSentAgainAtOnceIfTheAgentClosesTheConnectionUnderIt() throws IOException {
         AtomicInteger watches = new AtomicInteger();
         discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204)
                 : switch (watches.incrementAndGet()) {
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void noticeWhoseConnectionClosesAsItIsWrittenIsToldAgainAtOnce() throws IOException {
+    void noticeIsSentAgainAtOnceIfTheAgentClosesTheConnectionUnderIt() throws IOException {
         AtomicInteger notices = new AtomicInteger();
         discovery.respondWith(request -> !request.requestLine().startsWith("POST") ? StubPeer.NO_RESPONSE
                 : notices.incrementAndGet() == 2 ? StubPeer.CLOSE_CONNECTION : respondWithStatus(204));
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void answerThatIsCutInTheMiddleIsAskedForAgainAndAnIndentedOneIsRead() throws IOException {
+    void truncatedResponseIsRequestedAgainAndAnIndentedOneIsParsed() throws IOException {
         AtomicInteger watches = new AtomicInteger();
         String news = respondWith(200, RelayProcess.targetListJson(2, false,
                 RelayProcess.targetJson("h1", 7, "one", "terminating", host.address())).replace("{", "{\n  ").replace(",", " ,\n  ")
--- a/src/test/java/drumdeal/relay/BadClientTest.java
+++ b/src/test/java/drumdeal/relay/BadClientTest.java
@@ -45,13 +45,13 @@
     }
 
     @Test
-    void clientThatSaysNothingIsLetGo() throws IOException {
+    void clientThatSendsNothingIsDisconnected() throws IOException {
         relay.start();
         assertEquals(-1, readByte(connect()));
     }
 
     @Test
-    void crowdThatConnectsAtOnceStaysWithinTheLimit() throws IOException {
+    void manyClientsConnectingAtOnceStayWithinTheDescriptorLimit() throws IOException {
         relay.start();
         relay.pause();
         for (int i = 0; i < 400; i++) {
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void slowClientIsServedAmongACrowdThatNeverFinishesAMessage() throws IOException {
+    void slowClientIsServedAmongManyThatNeverFinishARequest() throws IOException {
         relay.start();
         String message = RelayProcess.messageRequest("slow", "safe", 7, 20_000, "hello");
         Socket slow = connect();
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void lackOfDescriptorsIsSurvived() throws IOException {
+    void relaySurvivesALackOfDescriptors() throws IOException {
         relay.descriptorLimit(100).start();
         for (int i = 0; i < 200; i++) {
             connect();
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void clientThatStopsHalfwayIsToldAndLetGo() throws IOException {
+    void clientThatStopsInTheMiddleOfARequestGetsStatus408AndIsDisconnected() throws IOException {
         relay.start();
         for (String half : List.of("POST /api HT", RelayProcess.messageRequest("h1", "safe", 7, 1000, "hello").replace("hello", "h"))) {
             Socket socket = connect();
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void tooLargeBodyIsRefusedAtItsHeadAndReadOn() throws IOException {
+    void oversizedBodyIsRejectedByItsLengthHeaderAndStillRead() throws IOException {
         relay.start();
         String head = RelayProcess.messageRequest("l1", "safe", 7, 1000, "").replace("Length: 0", "Length: 60000000");
         assertEquals(413, RelayProcess.exchange(connect(), head).status());
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void requestWhoseLengthIsInDoubtIsRefused() throws IOException {
+    void requestWithAmbiguousOrInvalidLengthIsRejected() throws IOException {
         relay.start();
         String good = RelayProcess.messageRequest("d1", "safe", 7, 1000, "0\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n");
         String length = "Content-Length: 30\r\n";
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void idOfAnotherClientsOpenRequestIsNotTakenOn() throws IOException {
+    void idOfAnotherClientsOpenRequestIsRejected() throws IOException {
         relay.roundPeriodSeconds("1").start();
         Socket first = connect();
         first.getOutputStream().write(RelayProcess.messageRequest("same", "safe", 7, 20_000, "x").getBytes());
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void hundredsOfRequestsAtOnceAreAllAnswered() throws IOException {
+    void hundredsOfPipelinedRequestsAreAllAnswered() throws IOException {
         relay.start();
         Socket socket = connect();
         StringBuilder all = new StringBuilder();
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void nothingBehindARequestToCloseIsTakenOn() throws IOException {
+    void requestsAfterOneWithConnectionCloseAreIgnored() throws IOException {
         relay.start();
         StringBuilder all = new StringBuilder(RelayProcess.messageRequest("last", "safe", 7, 20_000, "x")
                 .replace("Host: app.svc", "Host: app.svc\r\nConnection: close"));
@@ -186,7 +186,7 @@
     }
 
     @Test
-    void silentClientsAndHalfReadBodiesLeaveRoomForOthers() throws IOException {
+    void silentClientsAndIncompleteBodiesDoNotBlockOtherClients() throws IOException {
         relay.start();
         for (int i = 0; i < 300; i++) {
             connect();
--- a/src/test/java/drumdeal/relay/ClientRequestTest.java
+++ b/src/test/java/drumdeal/relay/ClientRequestTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void timeCountsFromWhenTheClientSentIt() {
+    void deadlineCountsFromTheArrivalOfTheRequest() {
         assertEquals(1_000_000 + 20_000_000, deadline(1_000_000, "20000"));
         assertEquals(1_000_000 + 1_000_000, deadline(1_000_000, "1000"));
         assertEquals(1_000_000, deadline(1_000_000, "0"));
--- a/src/test/java/drumdeal/relay/DeliveryTest.java
+++ b/src/test/java/drumdeal/relay/DeliveryTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void messageGoesOnUnchanged() throws IOException {
+    void messageIsForwardedUnchanged() throws IOException {
         String bytes = "\u0000\r\n\u00ff{}";
         assertEquals(202, relay.start().submit("abc1", "keyed", 7, 20_000, bytes));
         await(() -> host.requests.size() == 1);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void connectionIsUsedAgain() throws IOException {
+    void connectionIsReused() throws IOException {
         relay.start();
         for (int i = 0; i < 5; i++) {
             int before = i;
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void unsafeMessageThatMayHaveRunIsNotSentAgain() throws IOException {
+    void unsafeMessageThatMayHaveBeenProcessedIsNotRetried() throws IOException {
         host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
         assertEquals(202, relay.start().submit("u1", "unsafe", 7));
         await(() -> relay.hasSentNotice("u1", "dead"));
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void unsafeMessageThatNeverRanIsSentAgain() throws IOException {
+    void unsafeMessageRefusedWithStatus503IsRetried() throws IOException {
         host.respondWith(request -> host.countRequests("POST /receive") == 1 ? respondWithStatus(503) : respondWithStatus(200));
         assertEquals(202, relay.start().submit("u2", "unsafe", 7));
         await(() -> host.countRequests("POST /receive") == 2);
@@ -67,14 +67,14 @@
     }
 
     @Test
-    void connectionThatIsRefusedProvesThatNothingRan() throws IOException {
+    void unsafeMessageEndsAsBouncedIfTheHostRefusesConnections() throws IOException {
         host.close();
         assertEquals(202, relay.start().submit("u3", "unsafe", 7, 1500, "x"));
         await(() -> relay.hasSentNotice("u3", "bounced"));
     }
 
     @Test
-    void callThatIsNotAnsweredEndsWithItsTime() throws IOException {
+    void unansweredCallEndsAtTheMessageDeadline() throws IOException {
         host.respondWith(request -> StubPeer.NO_RESPONSE);
         assertEquals(202, relay.start().submit("u4", "unsafe", 7, 700, "x"));
         await(() -> relay.hasSentNotice("u4", "dead"));
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void messageThatIsOverAtTheHostNeedsNoNotice() throws IOException {
+    void status410EndsAMessageWithoutANotice() throws IOException {
         host.respondWith(request -> respondWithStatus(410));
         relay.start().submit("g1", "safe", 7);
         await(() -> host.requests.size() == 1);
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void toldWaitIsObeyed() throws IOException {
+    void retryDelayRequestedByTheHostIsObeyed() throws IOException {
         host.respondWith(request -> host.requests.size() == 1 ? respondWithStatus(429, "X-Come-Back-Ms: 1200") : respondWithStatus(200));
         relay.start().submit("w1", "safe", 7);
         await(() -> host.requests.size() == 1);
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void messagesOfOneRoundTravelInOneCall() throws IOException {
+    void messagesOfOneRoundAreSentInOneCall() throws IOException {
         // The destination refuses the first call, so that what comes meanwhile waits for its pace together.
         host.respondWith(request -> request.requestLine().contains("many")
                 ? respondWith(200, "[{\"id\":\"b1\",\"state\":\"done\"},{\"id\":\"b2\",\"state\":\"failed\"}]")
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void answerAfterTheTimeOfOneOfItsMessagesDeliversNone() throws IOException {
+    void batchResponseAfterTheEarliestDeadlineDeliversNoMessage() throws IOException {
         // The host answers as soon as the first message is over, and claims to have delivered both.
         host.respondWith(request -> {
             if (!request.requestLine().contains("many")) {
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void idleConnectionsAreNotTrustedAfterABreak() throws IOException {
+    void idleConnectionsAreClosedAfterAnotherOneBreaks() throws IOException {
         host.respondWith(request -> request.callId().startsWith("slow") ? StubPeer.NO_RESPONSE : respondWithStatus(200));
         relay.start();
         relay.submit("slow", "safe", 7);
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void connectionThatAnsweredSinceALostCallLeftIsKept() throws IOException {
+    void connectionThatRespondedAfterATimedOutCallWasSentIsKept() throws IOException {
         host.respondWith(request -> request.callId().equals("lost") ? StubPeer.NO_RESPONSE : respondWithStatus(200));
         assertEquals(202, relay.start().submit("lost", "unsafe", 7, 3000, "x"));
         await(() -> host.hasReceived("lost"));
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void connectionThatHasRestedSinceBeforeALostCallIsClosed() throws IOException {
+    void connectionIdleSinceBeforeATimedOutCallIsClosed() throws IOException {
         host.respondWith(request -> {
             await(() -> host.requests.size() >= 2);
             return request.callId().equals("lost") ? StubPeer.NO_RESPONSE : respondWithStatus(200);
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void answerThatMakesNoSenseIsSurvived() throws IOException {
+    void relaySurvivesMalformedResponsesAndLoadReports() throws IOException {
         host.respondWith(request -> "\u0001\u0002 nonsense\r\n\r\n");
         relay.start().submit("n1", "unsafe", 7);
         await(() -> relay.hasSentNotice("n1", "dead"));
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void clientThatLeavesBeforeItsAnswerIsForgotten() throws IOException {
+    void messageOfAClientThatDisconnectsBeforeItsResponseIsNotDelivered() throws IOException {
         relay.roundPeriodSeconds("0.5").start();
         // On a busy machine a whole period may pass between the last byte and the leaving: such a try says nothing.
         boolean forgotten = false;
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void answerThatNeverEndsDeliversAndHoldsUpNothing() throws IOException {
+    void unfinishedResponseWithStatus200DeliversAndDoesNotBlockLaterCalls() throws IOException {
         host.respondWith(request -> "HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n");
         relay.start().submit("e1", "unsafe", 7);
         await(() -> host.requests.size() == 1 && relay.readOpenMessages().isEmpty());
@@ -224,7 +224,7 @@
     }
 
     @Test
-    void deliveredMessagesAreNotHeldInMemory() throws IOException {
+    void deliveredMessagesDoNotStayInMemory() throws IOException {
         relay.start();
         String body = "x".repeat(64 << 10);
         try (Socket socket = relay.connect()) {
@@ -240,7 +240,7 @@
     }
 
     @Test
-    void requestThatIsCutOffIsNotTakenOn() throws IOException {
+    void truncatedRequestIsNotAccepted() throws IOException {
         relay.start();
         Socket socket = relay.connect();
         socket.setSoLinger(true, 0);
@@ -253,7 +253,7 @@
     }
 
     @Test
-    void connectionIsKeptForLessTimeThanOneThatBrokeHadRested() throws IOException, InterruptedException {
+    void idleTimeoutIsShortenedAfterAnIdleConnectionBreaks() throws IOException, InterruptedException {
         relay.start();
         assertEquals(202, relay.submit("r1", "safe", 7));
         await(() -> host.requests.size() == 1);
@@ -270,7 +270,7 @@
     }
 
     @Test
-    void callThatTheRelayGivesUpDoesNotShortenTheRestOfConnections() throws IOException, InterruptedException {
+    void callThatTheRelayAbandonsDoesNotShortenTheIdleTimeout() throws IOException, InterruptedException {
         relay.start();
         assertEquals(202, relay.submit("g1", "safe", 7));
         await(() -> host.requests.size() == 1);
@@ -288,7 +288,7 @@
     }
 
     @Test
-    void scarceConnectionIsWaitedForAndThenLetGo() throws IOException, InterruptedException {
+    void atTheConnectionLimitIdleConnectionsAreClosedAndCallsWaitForOpenOnes() throws IOException, InterruptedException {
         CountDownLatch free = new CountDownLatch(1);
         simulateScarceConnections(request -> {
             if ("b".equals(request.callId())) {
@@ -310,7 +310,7 @@
     }
 
     @Test
-    void connectionsToAllHostsOfAKindAreLetGoOnceOneOfItHasNoMore() throws IOException, InterruptedException {
+    void connectionLimitOfOneHostClosesIdleConnectionsToAllHostsOfItsKind() throws IOException, InterruptedException {
         try (StubPeer other = StubPeer.always(respondWithStatus(200))) {
             simulateScarceConnections(request -> respondWithStatus(200));
             relay.addTarget("h2", 9, "one", other).start();
@@ -328,7 +328,7 @@
     }
 
     @Test
-    void repeatThatGetsAConnectionAfterItsWindowIsNotSent() throws IOException {
+    void retryThatGetsAConnectionAfterTheDedupWindowIsNotSent() throws IOException {
         CountDownLatch waiting = new CountDownLatch(1);
         CountDownLatch late = new CountDownLatch(1);
         simulateScarceConnections(request -> {
--- a/src/test/java/drumdeal/relay/DiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/DiscoveryTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void watchGoesOnFromTheVersionKnownAtTheStart() throws IOException {
+    void watchContinuesFromTheVersionKnownAtTheStart() throws IOException {
         relay.start();
         await(() -> discovery.countRequests("GET /api/targets?after=1&") == 1);
         assertEquals(0, discovery.countRequests("GET /api/targets "), "the whole list costs every relay's discovery");
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void olderVersionLeavesTheListStanding() throws IOException {
+    void listOfAnOlderVersionIsIgnored() throws IOException {
         String other = targetJson("h2", 7, "one", "in_service", "127.0.0.1:9");
         answerWatches(StubPeer.respondWith(200, targetListJson(0, true, other)));
         relay.start();
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void relayOfALargeFleetWatchesNothingAndFetchesTheListFromTimeToTime() throws IOException {
+    void relayOfALargeFleetFetchesTheListPeriodicallyInsteadOfWatching() throws IOException {
         publishNewList();
         try (RelayProcess one = createRelayInFleetOf(100, "\"must-ask-in-s\":10,")) {
             one.start();
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void relayOfTheLargestFleetAsksWithinTheSpanOfTheRule() throws IOException {
+    void relayOfAVeryLargeFleetFetchesTheListWithinTheRequiredInterval() throws IOException {
         publishNewList();
         try (RelayProcess one = createRelayInFleetOf(1_000_000, "\"must-ask-in-s\":4,")) {
             one.start();
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void newAddressThatFailsIsAskedOftenWhileItsNewsIsDue() throws IOException {
+    void failingNewAddressIsCalledOftenWhileItsListIsDue() throws IOException {
         relay.start();
         try (StubPeer next = StubPeer.always(StubPeer.respondWithStatus(503))) {
             relay.moveDiscovery(next);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void newAddressIsAskedSoonWhateverPauseIsRunning() throws IOException {
+    void newAddressIsCalledSoonEvenDuringALongPause() throws IOException {
         String list = targetListJson(2, true, targetJson("h1", 7, "one", "in_service", host.address()));
         // So slow an answer that many pauses for it follow, 22 s and more.
         discovery.respondWith(request -> {
--- a/src/test/java/drumdeal/relay/IdleClientsTest.java
+++ b/src/test/java/drumdeal/relay/IdleClientsTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void callsNoticesAndDiscoveryKeepDescriptorsOfTheirOwn() throws IOException {
+    void descriptorsStayReservedForCallsNoticesAndDiscovery() throws IOException {
         relay.start();
         for (int i = 0; i < CLIENT_COUNT; i++) {
             clients.add(relay.connect());
--- a/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
+++ b/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void callIsNotWrittenToAConnectionThatItsHostHasClosedSinceTheLastRead() throws Exception {
+    void callIsNotSentOnAConnectionThatTheHostClosedSinceTheLastRead() throws Exception {
         leaveConnectionIdle();
         eventLoop.submit(() -> {
             // The loop is in this step: it has not read the end that is there from here on.
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void callIsNotWrittenToAConnectionThatThisRelayHasJustClosed() throws Exception {
+    void callIsNotSentOnAConnectionThatTheRelayHasJustClosed() throws Exception {
         leaveConnectionIdle();
         eventLoop.submit(() -> {
             client.closeIdle("h");
@@ -110,7 +110,7 @@
     /** Behind half a line a refusal could not be read: a message that may take effect once would have to fail. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void callIsNotWrittenToAConnectionOnWhichItsHostHasBegunALine(boolean inTheSameStep) throws Exception {
+    void callIsNotSentOnAConnectionOnWhichTheHostHasBegunAStatusLine(boolean inTheSameStep) throws Exception {
         leaveConnectionIdle();
         host.respondWith(request -> respondWithStatus(503));
         eventLoop.submit(() -> {
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void callThatMeetsTheEndOfItsConnectionAfterItsLastByteMayHaveRunAndIsToldOnce() throws Exception {
+    void callWhoseConnectionClosesAfterItWasSentEndsOnceAsReset() throws Exception {
         leaveConnectionIdle();
         host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
         eventLoop.submit(() -> send("second")).sync();
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void callIsNotGivenUpWhoseAnswerHasComeSinceTheLastRead() throws Exception {
+    void callWhoseResponseArrivedSinceTheLastReadIsNotCancelled() throws Exception {
         leaveConnectionIdle();
         host.respondWith(request -> StubPeer.NO_RESPONSE);
         Message.Attempt attempt = callOnEventLoop(() -> send("second"));
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void callThatIsGivenUpEndsOnceThoughItsAnswerComesAfterAll() throws Exception {
+    void cancelledCallEndsOnceEvenIfItsResponseStillArrives() throws Exception {
         leaveConnectionIdle();
         host.respondWith(request -> StubPeer.NO_RESPONSE);
         Message.Attempt attempt = callOnEventLoop(() -> send("second"));
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void connectionThatComesUpAfterItsCallWasGivenUpIsKeptForTheNextOne() throws Exception {
+    void connectionEstablishedAfterItsCallWasCancelledIsKeptForTheNextCall() throws Exception {
         eventLoop.submit(() -> {
             // In this step the connection can't be up yet.
             client.cancel(send("late"));
--- a/src/test/java/drumdeal/relay/IdleTimeoutTest.java
+++ b/src/test/java/drumdeal/relay/IdleTimeoutTest.java
@@ -12,13 +12,13 @@
     private final IdleTimeout idleTimeout = new IdleTimeout(MAX_IDLE_MICROS, 0);
 
     @Test
-    void breakThatNothingSpeaksAgainstShortensTheRest() {
+    void breakWithoutSurvivorsShortensTheTimeout() {
         assertTrue(idleTimeout.broke(400_000, MAX_IDLE_MICROS, 0));
         assertEquals(200_000, idleTimeout.currentTimeout(MAX_IDLE_MICROS, 0));
     }
 
     @Test
-    void singleBreakAmongManyThatHeldAsLongChangesNothing() {
+    void singleBreakAmongManySurvivorsChangesNothing() {
         for (int i = 0; i < 20; i++) {
             idleTimeout.survived(500_000, 0);
         }
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void everyTenthBreakShortensTheRest() {
+    void oneBreakInTenCallsShortensTheTimeout() {
         for (int i = 0; i < 9; i++) {
             idleTimeout.survived(400_000, 0);
         }
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void shorterIdleSpansThatHeldSayNothingOfLongerOnes() {
+    void survivalOfShorterIdleTimesDoesNotCountForLongerOnes() {
         for (int i = 0; i < 100; i++) {
             idleTimeout.survived(250_000, 0);
         }
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void whatHeldLongAgoIsForgotten() {
+    void survivalLongAgoIsForgotten() {
         for (int i = 0; i < 20; i++) {
             idleTimeout.survived(400_000, 0);
         }
@@ -51,12 +51,12 @@
     }
 
     @Test
-    void breakAfterHardlyAnyRestChangesNothing() {
+    void breakAfterTheShortestIdleTimeChangesNothing() {
         assertFalse(idleTimeout.broke(IdleTimeout.MIN_IDLE_MICROS, MAX_IDLE_MICROS, 0));
     }
 
     @Test
-    void restGrowsAgainWhileNoneBreaks() {
+    void timeoutGrowsAgainWithoutFurtherBreaks() {
         idleTimeout.broke(400_000, MAX_IDLE_MICROS, 0);
         assertEquals(400_000, idleTimeout.currentTimeout(MAX_IDLE_MICROS, 10_000_000));
         assertEquals(MAX_IDLE_MICROS, idleTimeout.currentTimeout(MAX_IDLE_MICROS, 100_000_000));
--- a/src/test/java/drumdeal/relay/InputValidationTest.java
+++ b/src/test/java/drumdeal/relay/InputValidationTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void badRequestsAreNotTakenOn() throws IOException {
+    void invalidRequestsAreRejected() throws IOException {
         relay.start();
         // The answer to the first watch has been taken in: the list known at the start is current.
         await(() -> discovery.countRequests("GET /api/targets?after=1&") == 2);
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void messageHandedInTwiceUnderOneIdIsTakenOnOnce() throws IOException {
+    void messageSubmittedTwiceWithTheSameIdIsSentOnce() throws IOException {
         host.respondWith(request -> StubPeer.NO_RESPONSE);
         relay.start();
         assertEquals(202, relay.submit("same", "safe", 7));
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void withNoRoomInTheJournalTheMessageIsRefused() throws IOException {
+    void messageIsRejectedIfTheJournalHasNoRoom() throws IOException {
         host.respondWith(request -> StubPeer.NO_RESPONSE);
         relay.limitDisk(0.1).start();
         assertEquals(202, relay.submit("r1", "safe", 7, 20_000, "x".repeat(20_000)));
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void drainingHostGetsNothingNew() throws IOException {
+    void drainingHostGetsNoNewMessages() throws IOException {
         try (StubPeer other = StubPeer.always(respondWithStatus(200))) {
             relay.start();
             await(() -> discovery.requests.stream().anyMatch(r -> r.requestLine().contains("after=1&")));
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void nonsenseFromDiscoveryIsSurvived() throws IOException {
+    void relaySurvivesMalformedDiscoveryResponses() throws IOException {
         relay.start();
         await(() -> discovery.requests.stream().anyMatch(r -> r.requestLine().contains("after=1&")));
         nextListUpdate.set("{\"rev\":[");
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void badConfigurationEndsWithOneLine() throws IOException, InterruptedException {
+    void invalidConfigurationEndsTheProcessWithOneLogLine() throws IOException, InterruptedException {
         Path config = Files.writeString(folder.resolve("bad.json"), "{\"seed\":\"zz\",\"settings\":{},\"limits\":{}}");
         for (String mode : new String[] {"serve", "nosuch"}) {
             ProcessBuilder builder = new ProcessBuilder(
--- a/src/test/java/drumdeal/relay/MalformedResponseTest.java
+++ b/src/test/java/drumdeal/relay/MalformedResponseTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void spoiltAnswerProvesNothing() throws IOException {
+    void unsafeMessageEndsAsDeadAfterAMalformedResponse() throws IOException {
         List<String> spoilt = List.of("HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\n", "HTTP/1.1 410 X\r\n" + OVERSIZED_BODY,
                 "HTTP/1.1 429 X\r\nX-Come-Back-Ms: 60000\r\nContent-Length: -1\r\n\r\n",
                 "HTTP/1.1 504 X\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void firstLineThatSays200IsTrueForOneMessage() throws IOException {
+    void statusLine200DeliversASingleMessageWhateverFollows() throws IOException {
         List<String> spoilt = List.of("HTTP/1.1 200 X\r\nEndless: " + "x".repeat(20_000), "HTTP/1.1 200 X\r\n" + OVERSIZED_BODY,
                 "HTTP/1.1 200 X\r\nbad\u0000head\r\nContent-Length: 0\r\n\r\n",
                 "HTTP/1.1 200 X\r\nContent-Length: 1, 2\r\n\r\n", "HTTP/1.1 200 X\r\nHalf",
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void answerOfManyThatCannotBeReadToItsEndCountsForNone() throws IOException {
+    void batchResponseThatCannotBeParsedToItsEndCountsForNoMessage() throws IOException {
         host.respondWith(request -> request.requestLine().contains("many")
                 ? respondWith(200, "[{\"id\":\"b1\",\"state\":\"busy\"},{\"id\":\"b2\",\"state\":\"busy\"},7]")
                 : host.requests.size() == 1 ? respondWithStatus(503, "X-Come-Back-Ms: 500") : StubPeer.NO_RESPONSE);
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void answersAheadOfTheAnswerAreSkipped() throws IOException {
+    void informationalResponsesAreSkipped() throws IOException {
         host.respondWith(request -> "HTTP/1.1 102 X\r\n\r\nHTTP/1.1 103 X\r\nLink: a\r\n\r\n"
                 + respondWithStatus(host.requests.size() == 1 ? 503 : 200));
         relay.start().submit("u1", "unsafe", 7);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void whatComesBehindAnAnswerIsNotTakenForTheNextOne() throws IOException {
+    void bytesAfterAResponseAreNotTakenForTheNextResponse() throws IOException {
         relay.start();
         for (String behind : List.of(respondWithStatus(200), "\u0001\u0002" + respondWithStatus(200), "noise\r\n\r\n" + respondWithStatus(200))) {
             host.respondWith(request -> respondWithStatus(200) + behind);
--- a/src/test/java/drumdeal/relay/PipelinedRequestsTest.java
+++ b/src/test/java/drumdeal/relay/PipelinedRequestsTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void requestsThatComeAtOnceLeaveTurnsToOthers() {
+    void pipelinedRequestsLetOtherTasksRunInBetween() {
         EmbeddedChannel client = createClientChannel();
         client.eventLoop().schedule(() -> events.add(OTHER_TASK), 0, TimeUnit.MILLISECONDS);
         client.writeInbound(Unpooled.copiedBuffer("GET /nosuch HTTP/1.1\r\nHost: x\r\n\r\n".repeat(REQUEST_COUNT),
--- a/src/test/java/drumdeal/relay/RaceConditionTest.java
+++ b/src/test/java/drumdeal/relay/RaceConditionTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void signalBeforeClientsCouldComeEndsTheStart() throws IOException, InterruptedException {
+    void endSignalBeforeTheRelayListensAbortsItsStart() throws IOException, InterruptedException {
         Files.createDirectories(relay.stateFolder());
         // Another process of this relay, which says nothing: the start waits for it.
         try (FileChannel owner = FileChannel.open(relay.stateFolder().resolve("owner.lock"), StandardOpenOption.CREATE,
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void requestThatIsNeverWholeIsRefusedBeforeAPlannedEnd() throws IOException, InterruptedException {
+    void requestThatIsNeverCompletedIsRejectedBeforeAGracefulStopEnds() throws IOException, InterruptedException {
         relay.start();
         try (Socket half = relay.connect()) {
             String message = messageRequest("half", "safe", 7, 20_000, "hello");
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void requestBegunLateIsRefusedBeforeAPlannedEnd() throws IOException, InterruptedException {
+    void requestBegunDuringAGracefulStopIsRejectedBeforeTheStopEnds() throws IOException, InterruptedException {
         relay.start();
         try (Socket busy = relay.connect()) {
             busy.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void secondSignalChangesNothingForARequestThatWasBegun() throws IOException, InterruptedException {
+    void secondEndSignalDoesNotAffectAnIncompleteRequest() throws IOException, InterruptedException {
         relay.start();
         String message = messageRequest("twice", "safe", 7, 20_000, "hello");
         try (Socket begun = relay.connect()) {
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void requestThatCrossesTheEndOfItsConnectionMeetsAnEndAndNoReset() throws IOException, InterruptedException {
+    void requestSentWhileItsConnectionClosesMeetsAnOrderlyEndAndNoReset() throws IOException, InterruptedException {
         relay.start();
         try (Socket unfinished = relay.connect(); Socket kept = relay.connect()) {
             unfinished.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void uploadThatGoesOnAcrossAPlannedEndIsRefusedAndNotTakenOn() throws IOException, InterruptedException {
+    void uploadThatOutlastsAGracefulStopIsRejectedAndNotJournaled() throws IOException, InterruptedException {
         relay.start();
         try (Socket upload = relay.connect()) {
             upload.getOutputStream().write(messageRequest("upload", "safe", 7, 20_000, "x".repeat(60_000)).substring(0, 1000)
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void signalRightBehindNewSettingsLeavesWhatIsHeldToTheNextProcess() throws IOException, InterruptedException {
+    void endSignalRightAfterAReloadLeavesOpenMessagesToTheNextProcess() throws IOException, InterruptedException {
         // Longer than the process will be there.
         host.respondWith(request -> respondWithStatus(429, "X-Come-Back-Ms: 6000"));
         relay.start();
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void signalDuringAHandoverLeavesWhatIsHeldToTheNextProcess() throws IOException, InterruptedException {
+    void endSignalDuringAHandoverLeavesOpenMessagesToTheNextProcess() throws IOException, InterruptedException {
         relay.start();
         try (SocketChannel successor = SocketChannel.open(Handover.socketAddress(relay.stateFolder()))) {
             UpgradeTest.requestHandover(successor);
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void hostsThatHangThroughASignalAndTwoKillsGetNothingTwiceThatMayNotBeRepeated()
+    void hangingHostGetsUnsafeMessagesOnlyOnceThroughAnEndSignalAndTwoKills()
             throws IOException, InterruptedException {
         host.respondWith(request -> StubPeer.NO_RESPONSE);
         relay.start();
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void requestThatCrossesTheEndOfItsRestInServiceMeetsAnEndAndIsServedWhenItComesAgain() throws IOException {
+    void requestSentWhileItsIdleConnectionTimesOutMeetsAnOrderlyEndAndIsServedWhenSentAgain() throws IOException {
         relay.start();
         try (Socket rested = relay.connect()) {
             assertEquals(200, RelayProcess.exchange(rested, READY_REQUEST).status());
@@ -211,7 +211,7 @@
     }
 
     @Test
-    void clientThatLeavesAsItsAnswerIsWrittenAndComesAgainIsServedOnceUnderTheNewId() throws IOException {
+    void messageSentAgainUnderANewIdAfterADisconnectIsDeliveredOnceUnderThatId() throws IOException {
         relay.start();
         try (Socket leaving = relay.connect()) {
             leaving.setSoLinger(true, 0);
--- a/src/test/java/drumdeal/relay/UnreadRequestTest.java
+++ b/src/test/java/drumdeal/relay/UnreadRequestTest.java
@@ -55,17 +55,17 @@
     }
 
     @Test
-    void timeRunsWhileARequestIsUnread() throws IOException, InterruptedException {
+    void budgetIncludesTheTimeForWhichARequestIsUnread() throws IOException, InterruptedException {
         assertBudgetIncludesUnreadTime(true);
     }
 
     @Test
-    void timeRunsWhileAConnectionIsNotAccepted() throws IOException, InterruptedException {
+    void budgetIncludesTheTimeForWhichAConnectionIsNotAccepted() throws IOException, InterruptedException {
         assertBudgetIncludesUnreadTime(false);
     }
 
     @Test
-    void requestThatIsOlderThanItsClientWaitsIsRefused() throws IOException, InterruptedException {
+    void requestOlderThanItsClientWaitsIsRejected() throws IOException, InterruptedException {
         RelayProcess.Response answer = submitUnread(true, 500);
         assertEquals(503, answer.status());
         assertTrue(answer.head().toLowerCase(Locale.ROOT).contains("retry-after"), answer.head());
--- a/src/test/java/drumdeal/relay/UnresponsiveDiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/UnresponsiveDiscoveryTest.java
@@ -98,7 +98,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 6, 25, 26, 120})
-    void callThatFallsSilentIsMadeAnewWellBeforeWhatItMissedCountsAsTold(int fleet) {
+    void timedOutCallIsRepeatedWellBeforeAChangeItMissedCountsAsDelivered(int fleet) {
         for (long seed = 0; seed < 50; seed++) {
             calls.clear();
             nowMillis = 0;
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void silenceRightAfterAMoveLeavesTimeForAnotherCallBeforeTheNewListCountsAsTold() {
+    void timeoutAfterAnAddressChangeLeavesTimeForAnotherCallBeforeTheListCountsAsDelivered() {
         Discovery discovery = createDiscovery(3, 6, 1000);
         discovery.start();
         advanceToNextCall();
@@ -152,7 +152,7 @@
     /** Small fleets watch, large ones fetch. */
     @ParameterizedTest
     @MethodSource("outages")
-    void listIsHeardWithinSixSecondsOfTheReturn(Failure failure, int fleet, long gone) {
+    void listIsReceivedWithinSixSecondsAfterAnOutage(Failure failure, int fleet, long gone) {
         for (long seed = 0; seed < SEED_COUNT; seed++) {
             calls.clear();
             nowMillis = 0;
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void callsThatKeepFallingSilentAreMadeWithGrowingPauses() {
+    void pausesGrowWhileCallsTimeOut() {
         createDiscovery(5, 6, 1000).start();
         advanceToNextCall();
         List<Long> pauses = new ArrayList<>();
@@ -186,7 +186,7 @@
     /** What is made within 200 ms of an answer counts as told, and a drain is kept from a grace later on. */
     @ParameterizedTest
     @ValueSource(ints = {250, 400, 1000})
-    void afterNewsTheNextCallComesWithinTheGraceOfADrain(int grace) {
+    void nextCallAfterAListUpdateIsMadeWithinTheDrainGrace(int grace) {
         for (long seed = 0; seed < 50; seed++) {
             calls.clear();
             nowMillis = 0;
