--- a/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
+++ b/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Discovery's agent closes a connection that rests just as the next call goes on it. */
+/** Discovery's agent closes an idle connection just as the next request is sent on it, or cuts off a response. */
 class AgentConnectionRaceTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
@@ -69,7 +69,7 @@
         assertEquals(0, host.requests.size(), "it drains");
     }
 
-    /** Writes a part of an answer, behind which the connection closes. */
+    /** Writes the first half of a response, after which the connection is closed. */
     private String sendTruncated(String answer) {
         try {
             discovery.connections.get(discovery.connections.size() - 1).getOutputStream()
@@ -80,7 +80,7 @@
         return StubPeer.CLOSE_CONNECTION;
     }
 
-    /** A relay that is short of CPU may refuse a message at the door: its client comes again. */
+    /** Submits a message until it is accepted, each time with another id: a relay short of CPU may reject it. */
     private void submitUntilAccepted(String id) {
         AtomicInteger tries = new AtomicInteger();
         await(() -> {
--- a/src/test/java/drumdeal/relay/BadClientTest.java
+++ b/src/test/java/drumdeal/relay/BadClientTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Clients that send what can't be used, too much, or nothing at all. */
+/** Clients that send malformed requests, too much data or nothing at all. */
 class BadClientTest extends RelayTestBase {
     private final List<Socket> openSockets = new ArrayList<>();
 
@@ -30,12 +30,14 @@
         }
     }
 
+    /** Opens a client connection that is closed after the test. */
     private Socket connect() throws IOException {
         Socket socket = relay.connect();
         openSockets.add(socket);
         return socket;
     }
 
+    /** Reads a byte; -1 if the relay has closed or reset the connection. */
     private static int readByte(Socket socket) throws IOException {
         try {
             return socket.getInputStream().read();
@@ -76,7 +78,7 @@
             connect().getOutputStream().write("POST /api HTTP/1.1\r\nHost:".getBytes());
             if (i % 15 == 0) {
                 slow.getOutputStream().write(message.charAt(sent++));
-                // All that has connected before is accepted once this is answered.
+                // Once this is answered, the relay has accepted all connections that were opened before.
                 relay.exchange("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
             }
         }
@@ -197,7 +199,7 @@
             try {
                 connect().getOutputStream().write(half.substring(0, half.length() - 1).getBytes());
             } catch (SocketException e) {
-                // The relay has no room for this one.
+                // The relay had no room for this connection and has closed it.
             }
         }
         assertEquals(202, relay.submit("r2", "safe", 7));
--- a/src/test/java/drumdeal/relay/ClientRequestTest.java
+++ b/src/test/java/drumdeal/relay/ClientRequestTest.java
@@ -8,7 +8,9 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.junit.jupiter.api.Test;
 
+/** The deadline of a message, which follows from its budget and the arrival of its request. */
 class ClientRequestTest {
+    /** The deadline, in microseconds, of a request that arrived at {@code cameAt} with a budget in milliseconds. */
     private static long deadline(long cameAt, String budgetMs) {
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api");
         head.headers().set(ClientServer.CALL_ID_HEADER, "m1").set("X-Call-Class", "safe").set(ClientServer.BUDGET_HEADER, budgetMs)
--- a/src/test/java/drumdeal/relay/DeliveryTest.java
+++ b/src/test/java/drumdeal/relay/DeliveryTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Calls to hosts: what is sent, what the answers mean, and what must not be sent. */
+/** Calls to hosts: what the relay sends, how it interprets the responses, and what it must not send. */
 class DeliveryTest extends RelayTestBase {
     private static final int MAX_TRIES = 10;
 
@@ -105,7 +105,8 @@
 
     @Test
     void messagesOfOneRoundAreSentInOneCall() throws IOException {
-        // The destination refuses the first call, so that what comes meanwhile waits for its pace together.
+        // The host refuses the first call and asks for a delay of 500 ms. Both messages wait for its end and are then
+        // sent in one round.
         host.respondWith(request -> request.requestLine().contains("many")
                 ? respondWith(200, "[{\"id\":\"b1\",\"state\":\"done\"},{\"id\":\"b2\",\"state\":\"failed\"}]")
                 : host.requests.size() == 1 ? respondWithStatus(503, "X-Come-Back-Ms: 500") : StubPeer.NO_RESPONSE);
@@ -121,7 +122,8 @@
 
     @Test
     void batchResponseAfterTheEarliestDeadlineDeliversNoMessage() throws IOException {
-        // The host answers as soon as the first message is over, and claims to have delivered both.
+        // As above, the refusal puts both messages into one call. The host responds to it only once the first message
+        // has reached its deadline, and then claims to have delivered both.
         host.respondWith(request -> {
             if (!request.requestLine().contains("many")) {
                 return respondWithStatus(503, "X-Come-Back-Ms: 500");
@@ -156,6 +158,7 @@
 
     @Test
     void connectionThatRespondedAfterATimedOutCallWasSentIsKept() throws IOException {
+        // The call of "lost" keeps the first connection busy, so "since" goes on a second one.
         host.respondWith(request -> request.callId().equals("lost") ? StubPeer.NO_RESPONSE : respondWithStatus(200));
         assertEquals(202, relay.start().submit("lost", "unsafe", 7, 3000, "x"));
         await(() -> host.hasReceived("lost"));
@@ -168,6 +171,7 @@
 
     @Test
     void connectionIdleSinceBeforeATimedOutCallIsClosed() throws IOException {
+        // The host responds only once it has both of the first calls, so that they use two connections.
         host.respondWith(request -> {
             await(() -> host.requests.size() >= 2);
             return request.callId().equals("lost") ? StubPeer.NO_RESPONSE : respondWithStatus(200);
@@ -196,7 +200,8 @@
     @Test
     void messageOfAClientThatDisconnectsBeforeItsResponseIsNotDelivered() throws IOException {
         relay.roundPeriodSeconds("0.5").start();
-        // On a busy machine a whole period may pass between the last byte and the leaving: such a try says nothing.
+        // On a busy machine a whole round may pass between the request and the disconnect. The message is then delivered
+        // rightly, and the test tries again.
         boolean forgotten = false;
         for (int i = 0; i < MAX_TRIES && !forgotten; i++) {
             String left = "left" + i;
@@ -226,6 +231,7 @@
     @Test
     void deliveredMessagesDoNotStayInMemory() throws IOException {
         relay.start();
+        // 500 bodies of 64 KiB exceed the heap of the relay, which exits when it runs out of memory.
         String body = "x".repeat(64 << 10);
         try (Socket socket = relay.connect()) {
             for (int i = 0; i < 500; i++) {
@@ -281,7 +287,10 @@
         assertFalse(relay.log().contains("a connection broke"), relay.log());
     }
 
-    /** The host turns the first call away, on a connection that it closes; others answer as told. */
+    /**
+     * Makes the host refuse the first call with status 503 and close its connection, as a host does that accepts no more
+     * connections. Later calls get their response from the function.
+     */
     private void simulateScarceConnections(Function<StubPeer.Request, String> others) {
         host.respondWith(request -> host.countRequests("POST") == 1 ? StubPeer.respondWithStatus(503, "Connection: close")
                 : others.apply(request));
@@ -318,7 +327,8 @@
             await(() -> other.hasReceived("kept"));
             assertEquals(202, relay.submit("a", "safe", 7));
             await(() -> host.requests.size() == 2);
-            // Called so often that a connection kept for the settings' span would never fall idle for it.
+            // The calls follow each other so fast that one connection, kept for the idle time in the settings, would
+            // carry them all.
             for (int i = 0; i < 50 && other.connections.size() < 3; i++) {
                 assertEquals(202, relay.submit("b" + i, "safe", 9));
                 Thread.sleep(100);
@@ -329,6 +339,7 @@
 
     @Test
     void retryThatGetsAConnectionAfterTheDedupWindowIsNotSent() throws IOException {
+        // "k" fails and is due for a retry, but "b" holds the only connection until the dedup window of 5 s is over.
         CountDownLatch waiting = new CountDownLatch(1);
         CountDownLatch late = new CountDownLatch(1);
         simulateScarceConnections(request -> {
--- a/src/test/java/drumdeal/relay/DiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/DiscoveryTest.java
@@ -11,13 +11,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** How a relay asks for the list where many others ask too. */
+/** How a relay requests the list of hosts from a discovery that serves many relays. */
 class DiscoveryTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
         prepare(RelayProcess.discoveryWithoutChanges(), StubPeer.always(StubPeer.respondWithStatus(200)));
     }
 
+    /** Makes discovery acknowledge notices and give the same response to every other request. */
     private void answerWatches(String answer) {
         discovery.respondWith(request -> request.requestLine().startsWith("POST /status") ? StubPeer.respondWithStatus(204) : answer);
     }
@@ -35,7 +36,7 @@
         long before = System.nanoTime();
         relay.start();
         await(() -> discovery.countRequests("GET /api/targets") == 5);
-        // The shortest pauses that there may be: 0.2, 0.4, 0.8 and 1.6 s.
+        // The shortest possible pauses are 0.2, 0.4, 0.8 and 1.6 s.
         assertTrue(System.nanoTime() - before >= TimeUnit.SECONDS.toNanos(3));
         assertEquals(202, relay.submit("a", "safe", 7), "the old list stands meanwhile");
         await(() -> host.hasReceived("a"));
@@ -52,12 +53,16 @@
         await(() -> host.hasReceived("a"));
     }
 
-    /** A relay without a list of its own, so that it asks at once, in a fleet of such a size. */
+    /**
+     * A relay in a fleet of the given size. Its configuration contains no targets, so it requests the list at once, and
+     * has {@code rules} at the start of its {@code contract} settings.
+     */
     private RelayProcess createRelayInFleetOf(int size, String rules) {
         return new RelayProcess(folder, discovery).editConfiguration(text -> text.replace("\"fleet-size\":1,",
                 "\"fleet-size\":" + size + ",").replace("\"contract\":{", "\"contract\":{" + rules));
     }
 
+    /** Makes discovery answer every request for the list with version 2. */
     private void publishNewList() {
         answerWatches(StubPeer.respondWith(200, targetListJson(2, true, targetJson("h1", 7, "one", "in_service", host.address()))));
     }
@@ -91,7 +96,7 @@
             relay.moveDiscovery(next);
             await(() -> next.countRequests("GET /api/targets ") == 9);
             long took = next.requests.get(8).receivedAtNanos() - next.requests.get(0).receivedAtNanos();
-            // Pauses that double up to 3.2 s, half more or less, would take 9.4 s at the least.
+            // Pauses that double up to 3.2 s and vary by half either way would take at least 9.4 s.
             assertTrue(took < TimeUnit.MILLISECONDS.toNanos(9300), "nine calls in ns: " + took);
             assertTrue(took > TimeUnit.MILLISECONDS.toNanos(3000), "nine calls in ns: " + took);
         }
@@ -100,7 +105,7 @@
     @Test
     void newAddressIsCalledSoonEvenDuringALongPause() throws IOException {
         String list = targetListJson(2, true, targetJson("h1", 7, "one", "in_service", host.address()));
-        // So slow an answer that many pauses for it follow, 22 s and more.
+        // The pause grows with the response time of discovery. After a response that takes 2 s it is at least 22 s.
         discovery.respondWith(request -> {
             long from = System.nanoTime();
             await(() -> System.nanoTime() - from > 2_000_000_000L);
--- a/src/test/java/drumdeal/relay/IdleClientsTest.java
+++ b/src/test/java/drumdeal/relay/IdleClientsTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Idle clients take every connection that there is for them while discovery is gone. */
+/** Idle clients hold every connection that the relay allows to clients while discovery is unavailable. */
 class IdleClientsTest extends RelayTestBase {
-    /** As the configuration says, and no more. */
+    /** The same number as in the configuration, so the relay can open no descriptor beyond that. */
     private static final int DESCRIPTOR_LIMIT = 256;
     private static final int CLIENT_COUNT = 400;
 
--- a/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
+++ b/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
@@ -26,7 +26,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Kept connections to a host that end just as a call is about to go on them, in steps on the event loop itself. */
+/**
+ * Idle connections to a host that close just when a call is about to be sent on them. The tests run their steps as
+ * tasks on the event loop, so the loop reads nothing from the connections between the steps of one task.
+ */
 class IdleHostConnectionTest implements HostClient.ResultListener {
     private final MultiThreadIoEventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop eventLoop = (EventLoop) eventLoopGroup.next();
@@ -61,6 +64,7 @@
         eventLoopGroup.shutdownGracefully();
     }
 
+    /** Sends a message to the host in a call of its own; must run on the event loop. */
     private Message.Attempt send(String id) {
         long now = clock.micros();
         Message message = new Message(1, new Message.Content(id, "once", null, null, now + 20_000_000, 7, new byte[5]), null);
@@ -87,7 +91,7 @@
     void callIsNotSentOnAConnectionThatTheHostClosedSinceTheLastRead() throws Exception {
         leaveConnectionIdle();
         eventLoop.submit(() -> {
-            // The loop is in this step: it has not read the end that is there from here on.
+            // The event loop is running this task, so it has not read the end of the connection before the next call.
             closeHostConnections();
             send("second");
         }).sync();
@@ -107,7 +111,10 @@
         assertEquals(List.of(Result.OK, Result.OK), ended);
     }
 
-    /** Behind half a line a refusal could not be read: a message that may take effect once would have to fail. */
+    /**
+     * Bytes of a status line that no call asked for would garble the response to the next call. Then even a refusal
+     * could not be parsed, and a message that may take effect only once would have to fail.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void callIsNotSentOnAConnectionOnWhichTheHostHasBegunAStatusLine(boolean inTheSameStep) throws Exception {
@@ -172,7 +179,7 @@
     @Test
     void connectionEstablishedAfterItsCallWasCancelledIsKeptForTheNextCall() throws Exception {
         eventLoop.submit(() -> {
-            // In this step the connection can't be up yet.
+            // The connection can't be established yet within this task.
             client.cancel(send("late"));
         }).sync();
         await(() -> callOnEventLoop(client::connectionSummary).contains("(1 idle)"));
@@ -185,7 +192,7 @@
         assertEquals(1, callOnEventLoop(client::connections));
     }
 
-    /** Writes what the host says next; false where the connection has ended. */
+    /** Writes bytes from the host on its first connection; false if the connection is closed. */
     private boolean writeFromHost(String bytes) {
         try {
             host.connections.get(0).getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/drumdeal/relay/IdleTimeoutTest.java
+++ b/src/test/java/drumdeal/relay/IdleTimeoutTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How long connections are kept idle, by what became of those that rested. */
+/** How the idle timeout changes with calls on idle connections, which break or survive. Times are in microseconds. */
 class IdleTimeoutTest {
     private static final long MAX_IDLE_MICROS = 9_000_000;
     private final IdleTimeout idleTimeout = new IdleTimeout(MAX_IDLE_MICROS, 0);
--- a/src/test/java/drumdeal/relay/InputValidationTest.java
+++ b/src/test/java/drumdeal/relay/InputValidationTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What clients and discovery may send, and what of it is taken on. */
+/** Which input from clients, discovery and the configuration the relay accepts. */
 class InputValidationTest extends RelayTestBase {
-    /** What discovery's watch answers next; each news is told once. */
+    /** Body of discovery's response to the next watch, set to null once it is sent; with null a watch stays open. */
     private final AtomicReference<String> nextListUpdate = new AtomicReference<>(targetListJson(1, false));
 
     @BeforeEach
@@ -39,7 +39,7 @@
     @Test
     void invalidRequestsAreRejected() throws IOException {
         relay.start();
-        // The answer to the first watch has been taken in: the list known at the start is current.
+        // The second watch shows that the relay has applied the first response: the list known at the start is current.
         await(() -> discovery.countRequests("GET /api/targets?after=1&") == 2);
         String good = RelayProcess.messageRequest("x1", "keyed", 7, 1000, "hello");
         assertEquals(400, relay.submit("x2", "nosuch", 7));
--- a/src/test/java/drumdeal/relay/MalformedResponseTest.java
+++ b/src/test/java/drumdeal/relay/MalformedResponseTest.java
@@ -12,8 +12,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Answers of hosts that can't be read, don't end, or bring more than belongs to them. */
+/** Responses of hosts that can't be parsed, don't end, or are followed by bytes that do not belong to them. */
 class MalformedResponseTest extends RelayTestBase {
+    /** End of the headers and start of a body that is larger than the relay accepts. */
     private static final String OVERSIZED_BODY = "Content-Length: 3000000000\r\n\r\n" + "x".repeat(100_000);
 
     @BeforeEach
@@ -62,6 +63,8 @@
 
     @Test
     void batchResponseThatCannotBeParsedToItsEndCountsForNoMessage() throws IOException {
+        // The host refuses the first call and asks for a delay of 500 ms. Both messages wait for its end and are then
+        // sent in one call.
         host.respondWith(request -> request.requestLine().contains("many")
                 ? respondWith(200, "[{\"id\":\"b1\",\"state\":\"busy\"},{\"id\":\"b2\",\"state\":\"busy\"},7]")
                 : host.requests.size() == 1 ? respondWithStatus(503, "X-Come-Back-Ms: 500") : StubPeer.NO_RESPONSE);
--- a/src/test/java/drumdeal/relay/PipelinedRequestsTest.java
+++ b/src/test/java/drumdeal/relay/PipelinedRequestsTest.java
@@ -14,15 +14,20 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A client that sends hundreds of requests at once, on an event loop whose steps the test takes. */
+/**
+ * A client that sends hundreds of requests at once. The relay must not handle them in one go: all other clients, and
+ * the timers that are due, would wait meanwhile. The test itself runs the tasks of the event loop.
+ */
 class PipelinedRequestsTest {
     private static final int REQUEST_COUNT = 400;
     private static final String RESPONSE = "answer";
     private static final String FLUSH = "flush";
     private static final String OTHER_TASK = "other";
 
+    /** The responses and flushes of the client's channel and the other task, in the order in which they happened. */
     private final List<String> events = new ArrayList<>();
 
+    /** Adds each response and each flush to the events. */
     private final class WriteRecorder extends ChannelOutboundHandlerAdapter {
         @Override
         public void write(ChannelHandlerContext ctx, Object bytes, ChannelPromise promise) {
--- a/src/test/java/drumdeal/relay/RaceConditionTest.java
+++ b/src/test/java/drumdeal/relay/RaceConditionTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Events that cross: signals, the ends of connections, and requests on their way. */
+/** Races between end signals, closing connections and requests in transit. */
 class RaceConditionTest extends RelayTestBase {
     private static final String READY_REQUEST = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
@@ -32,7 +32,7 @@
     @Test
     void endSignalBeforeTheRelayListensAbortsItsStart() throws IOException, InterruptedException {
         Files.createDirectories(relay.stateFolder());
-        // Another process of this relay, which says nothing: the start waits for it.
+        // Stands for another process of this relay that accepts no connection: the start waits for it.
         try (FileChannel owner = FileChannel.open(relay.stateFolder().resolve("owner.lock"), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE); FileLock held = owner.lock();
                 ServerSocketChannel silent = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
@@ -55,7 +55,7 @@
             half.getOutputStream().write(message.substring(0, message.length() - 1).getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
-            // Each piece begins the wait for the next one anew; the last byte never comes.
+            // The last byte never arrives. Either the timeout of the request (408) or the end of the stop (503) rejects it.
             RelayProcess.Response answer = RelayProcess.exchange(half, "");
             assertTrue(answer.status() == 503 || answer.status() == 408, answer.head());
         }
@@ -70,7 +70,7 @@
             busy.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
-            // Its own time would end 2.5 s from connecting, after the process.
+            // The timeout of the late request, 2.5 s from connecting, would end after the process has exited.
             Thread.sleep(1500);
             try (Socket late = relay.connect()) {
                 late.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
@@ -106,7 +106,7 @@
             relay.terminate();
             assertEquals(-1, kept.getInputStream().read());
             kept.getOutputStream().write(messageRequest("crossing", "safe", 7, 20_000, "hello").getBytes());
-            // After a reset this would be an exception.
+            // Fails with an exception if the relay has reset the connection.
             kept.getOutputStream().write('x');
         }
         assertTrue(relay.waitForExit());
@@ -136,7 +136,7 @@
 
     @Test
     void endSignalRightAfterAReloadLeavesOpenMessagesToTheNextProcess() throws IOException, InterruptedException {
-        // Longer than the process will be there.
+        // The requested delay is longer than the process will run.
         host.respondWith(request -> respondWithStatus(429, "X-Come-Back-Ms: 6000"));
         relay.start();
         assertEquals(202, relay.submit("held", "unsafe", 7));
@@ -165,7 +165,8 @@
             relay.terminate();
             assertTrue(relay.waitForExit());
         }
-        // Whether it was still told that the other process is gone is open; then it may have sent it already.
+        // The successor never listens. So the relay may have resumed its decisions before it exited, and may have sent
+        // the message itself.
         relay.start();
         await(() -> countCalls("between") == 1 && relay.readOpenMessages().isEmpty());
     }
@@ -202,7 +203,7 @@
             assertEquals(200, RelayProcess.exchange(rested, READY_REQUEST).status());
             assertEquals(-1, rested.getInputStream().read());
             rested.getOutputStream().write(messageRequest("again", "safe", 7, 20_000, "hello").getBytes());
-            // After a reset this would be an exception.
+            // Fails with an exception if the relay has reset the connection.
             rested.getOutputStream().write('x');
             assertEquals(202, relay.submit("again", "safe", 7));
         }
--- a/src/test/java/drumdeal/relay/UnreadRequestTest.java
+++ b/src/test/java/drumdeal/relay/UnreadRequestTest.java
@@ -13,11 +13,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Requests that wait unread while the relay has no CPU: their time runs all the same. */
+/** Requests that wait unread while the relay gets no CPU time: the wait counts against their budget. */
 class UnreadRequestTest extends RelayTestBase {
     private static final int BUDGET_MILLIS = 20_000;
 
     private int submissionCount;
+    /** How long the last message stayed unread, at least. */
     private long waitedMillis;
 
     @BeforeEach
@@ -26,7 +27,10 @@
         relay.start();
     }
 
-    /** Hands a message in that lies unread for a while, on a connection from before or from meanwhile. */
+    /**
+     * Submits a message that stays unread while the relay is paused, on a connection opened before the pause or during
+     * it. Sets {@link #waitedMillis}.
+     */
     private RelayProcess.Response submitUnread(boolean known, long leastMs) throws IOException, InterruptedException {
         String message = RelayProcess.messageRequest("id" + submissionCount++, "unsafe", 7, BUDGET_MILLIS, "hello");
         Socket first = known ? relay.connect() : null;
@@ -45,7 +49,7 @@
     }
 
     private void assertBudgetIncludesUnreadTime(boolean known) throws IOException, InterruptedException {
-        // On a busy machine a request may wait until it is too old; then the next one is looked at.
+        // On a busy machine a request may wait so long that the relay rejects it; then another one is submitted.
         while (submitUnread(known, 150).status() != 202) {
             assertTrue(submissionCount < 20, "every request was refused");
         }
--- a/src/test/java/drumdeal/relay/UnresponsiveDiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/UnresponsiveDiscoveryTest.java
@@ -19,17 +19,23 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When discovery is asked again, on a clock of the test's own: what a silent call misses counts as told 6 s after it. */
+/**
+ * When the relay calls discovery again after a call without a response, on a simulated clock. A change that such a call
+ * misses counts as delivered 6 s after the start of the call.
+ */
 class UnresponsiveDiscoveryTest {
+    /** Time from the start of a call until a change that it misses counts as delivered. */
     private static final long DEEMED_DELIVERED_MILLIS = 6000;
-    /** Or so long after the wait of a call that may wait, if that is later. */
+    /** For a watch, the same time from the end of its requested duration, if that is later. */
     private static final long DEEMED_DELIVERED_AFTER_WAIT_MILLIS = 2000;
-    /** What a discovery that serves a whole fleet takes for an answer. */
+    /** How long discovery takes to respond while it serves a whole fleet. */
     private static final long RESPONSE_TIME_MILLIS = 1000;
     private static final int SEED_COUNT = 10;
     private static final Pattern WAIT_PARAMETER = Pattern.compile("wait_ms=(\\d+)");
 
+    /** A call to discovery. */
     private record Call(long startedAtMillis, String path, long timeoutMillis, AgentClient.ResponseHandler callback) {
+        /** When a change that this call misses counts as delivered. */
         long deemedDeliveredAtMillis() {
             Matcher wait = WAIT_PARAMETER.matcher(path);
             return startedAtMillis + (wait.find() ? Math.max(DEEMED_DELIVERED_MILLIS, Long.parseLong(wait.group(1)) + DEEMED_DELIVERED_AFTER_WAIT_MILLIS) : DEEMED_DELIVERED_MILLIS);
@@ -54,6 +60,7 @@
         }
     };
 
+    /** Creates a discovery client that knows version 1 of the list. */
     private Discovery createDiscovery(long seed, int fleet, long graceMs) {
         embeddedChannel.freezeTime();
         return new Discovery(embeddedChannel.eventLoop(), agent, settings(seed, fleet, graceMs), 1, new Discovery.Listener() {
@@ -69,6 +76,7 @@
         return calls.get(calls.size() - 1);
     }
 
+    /** Advances the clock in steps of a millisecond and runs the tasks that fall due. */
     private void advanceMillis(long millis) {
         for (long end = nowMillis + millis; nowMillis < end; nowMillis++) {
             embeddedChannel.advanceTimeBy(1, TimeUnit.MILLISECONDS);
@@ -76,7 +84,7 @@
         }
     }
 
-    /** Lets time pass until another call is made. */
+    /** Advances the clock until another call is made, but not beyond 100 s. */
     private void advanceToNextCall() {
         int before = calls.size();
         while (calls.size() == before && nowMillis < 100_000) {
@@ -84,7 +92,7 @@
         }
     }
 
-    /** The last call gets no answer until it is given up. */
+    /** Lets the last call time out and advances the clock to the next one. */
     private void timeOutLastCall() {
         Call silent = lastCall();
         advanceMillis(silent.timeoutMillis());
@@ -133,7 +141,7 @@
                 new Policy.ServiceRules(0, graceMs * 1000, 2, 1, 0.2, 1, 10_000_000, 0), 1, false, true, Policy.RateHint.NONE, 0);
     }
 
-    /** How calls end while discovery is gone. */
+    /** How calls end while discovery is unavailable. */
     private enum Failure {
         CONNECTION_REFUSED(0), SERVICE_UNAVAILABLE(503), TIMED_OUT(AgentClient.TIMED_OUT);
 
@@ -149,7 +157,7 @@
                 Stream.of(100L, 8_000L, 60_000L).map(gone -> Arguments.of(failure, fleet, gone))));
     }
 
-    /** Small fleets watch, large ones fetch. */
+    /** Relays of small fleets watch for changes, those of large fleets fetch the list; the sizes cover both. */
     @ParameterizedTest
     @MethodSource("outages")
     void listIsReceivedWithinSixSecondsAfterAnOutage(Failure failure, int fleet, long gone) {
@@ -183,7 +191,10 @@
         assertTrue(pauses.get(4) <= 4800, "pauses " + pauses);
     }
 
-    /** What is made within 200 ms of an answer counts as told, and a drain is kept from a grace later on. */
+    /**
+     * A change within 200 ms after a response counts as delivered with that response. If it drains a host, the relay must
+     * respect that from the end of the drain grace on, so it has to call again before.
+     */
     @ParameterizedTest
     @ValueSource(ints = {250, 400, 1000})
     void nextCallAfterAListUpdateIsMadeWithinTheDrainGrace(int grace) {
