--- a/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
+++ b/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
@@ -66,7 +66,7 @@
         assertTrue(relay.log().contains("no list"), relay.log());
         assertTrue(relay.fetchStats().contains("\"members_unavailable\":1"), relay.fetchStats());
         assertEquals(202, relay.submit("held", "safe", 7));
-        assertEquals(0, host.requests.size(), "it drains");
+        assertEquals(0, host.requests.size(), "the host drains");
     }
 
     /** Writes the first half of a response, after which the connection is closed. */
--- a/src/test/java/drumdeal/relay/BadClientTest.java
+++ b/src/test/java/drumdeal/relay/BadClientTest.java
@@ -65,7 +65,7 @@
             most = Math.max(most, relay.countOpenDescriptors());
             assertEquals(-1, readByte(socket));
         }
-        assertTrue(most <= 256, "descriptors: " + most);
+        assertTrue(most <= 256, "open descriptors: " + most);
     }
 
     @Test
@@ -82,7 +82,7 @@
                 relay.exchange("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
             }
         }
-        assertEquals(202, relay.submit("quick", "safe", 7), "a message that comes whole");
+        assertEquals(202, relay.submit("quick", "safe", 7), "a request that arrives whole is accepted");
         assertEquals(202, RelayProcess.exchange(slow, message.substring(sent)).status());
     }
 
@@ -108,7 +108,7 @@
         }
         Socket socket = connect();
         assertEquals(202, RelayProcess.exchange(socket, RelayProcess.messageRequest("w1", "safe", 7, 20_000, "x")).status());
-        assertEquals(408, RelayProcess.exchange(socket, "POST").status(), "also in a later request");
+        assertEquals(408, RelayProcess.exchange(socket, "POST").status(), "a later request times out too");
     }
 
     @Test
--- a/src/test/java/drumdeal/relay/DeliveryTest.java
+++ b/src/test/java/drumdeal/relay/DeliveryTest.java
@@ -100,7 +100,7 @@
         relay.submit("w2", "safe", 7);
         await(() -> host.requests.size() == 3);
         long gap = host.requests.get(1).receivedAtNanos() - host.requests.get(0).receivedAtNanos();
-        assertTrue(gap >= TimeUnit.MILLISECONDS.toNanos(1200), "sent after ns: " + gap);
+        assertTrue(gap >= TimeUnit.MILLISECONDS.toNanos(1200), "ns between the calls: " + gap);
     }
 
     @Test
@@ -213,7 +213,7 @@
             await(() -> host.hasReceived(stayed) && relay.readOpenMessages().isEmpty());
             forgotten = !host.hasReceived(left);
         }
-        assertTrue(forgotten, "what a client gave up was delivered each time");
+        assertTrue(forgotten, "the message of the client that disconnected was delivered in every try");
     }
 
     @Test
@@ -267,12 +267,12 @@
         host.respondWith(request -> host.countRequests("POST") == 2 ? StubPeer.CLOSE_CONNECTION : respondWithStatus(200));
         assertEquals(202, relay.submit("r2", "safe", 7));
         await(() -> host.requests.size() == 3);
-        assertEquals(2, host.connections.size(), "a kept connection broke, a new one took over");
+        assertEquals(2, host.connections.size(), "the idle connection breaks and the retry uses a new one");
         long rested = host.requests.get(1).receivedAtNanos() - host.requests.get(0).receivedAtNanos();
         Thread.sleep(rested / 1_000_000);
         assertEquals(202, relay.submit("r3", "safe", 7));
         await(() -> host.requests.size() == 4);
-        assertEquals(3, host.connections.size(), "one that rested as long is not trusted");
+        assertEquals(3, host.connections.size(), "a connection idle as long as the one that broke is not reused");
     }
 
     @Test
@@ -315,7 +315,7 @@
         Thread.sleep(500);
         free.countDown();
         await(() -> host.hasReceived("c"));
-        assertEquals(3, host.connections.size(), "the one of b carried c too");
+        assertEquals(3, host.connections.size(), "the connection of b is used for c too");
     }
 
     @Test
@@ -333,7 +333,7 @@
                 assertEquals(202, relay.submit("b" + i, "safe", 9));
                 Thread.sleep(100);
             }
-            assertEquals(3, other.connections.size(), "each call came on a connection of its own");
+            assertEquals(3, other.connections.size(), "each call uses a connection of its own");
         }
     }
 
--- a/src/test/java/drumdeal/relay/DiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/DiscoveryTest.java
@@ -27,7 +27,7 @@
     void watchContinuesFromTheVersionKnownAtTheStart() throws IOException {
         relay.start();
         await(() -> discovery.countRequests("GET /api/targets?after=1&") == 1);
-        assertEquals(0, discovery.countRequests("GET /api/targets "), "the whole list costs every relay's discovery");
+        assertEquals(0, discovery.countRequests("GET /api/targets "), "the whole list is not fetched, as discovery serves all relays");
     }
 
     @Test
@@ -38,7 +38,7 @@
         await(() -> discovery.countRequests("GET /api/targets") == 5);
         // The shortest possible pauses are 0.2, 0.4, 0.8 and 1.6 s.
         assertTrue(System.nanoTime() - before >= TimeUnit.SECONDS.toNanos(3));
-        assertEquals(202, relay.submit("a", "safe", 7), "the old list stands meanwhile");
+        assertEquals(202, relay.submit("a", "safe", 7), "the known list stays in use meanwhile");
         await(() -> host.hasReceived("a"));
     }
 
@@ -74,8 +74,8 @@
             one.start();
             await(() -> discovery.countRequests("GET /api/targets ") == 2);
             long pause = discovery.requests.get(1).receivedAtNanos() - discovery.requests.get(0).receivedAtNanos();
-            assertTrue(pause >= TimeUnit.SECONDS.toNanos(2), "asked again in ns: " + pause);
-            assertEquals(0, discovery.countRequests("GET /api/targets?"), "what follows a watch's answer counts as told");
+            assertTrue(pause >= TimeUnit.SECONDS.toNanos(2), "ns between the fetches: " + pause);
+            assertEquals(0, discovery.countRequests("GET /api/targets?"), "no watch: a change after its response would count as delivered");
             assertEquals(1, one.log().split("discovery: version 2", -1).length - 1, one.log());
         }
     }
@@ -97,8 +97,8 @@
             await(() -> next.countRequests("GET /api/targets ") == 9);
             long took = next.requests.get(8).receivedAtNanos() - next.requests.get(0).receivedAtNanos();
             // Pauses that double up to 3.2 s and vary by half either way would take at least 9.4 s.
-            assertTrue(took < TimeUnit.MILLISECONDS.toNanos(9300), "nine calls in ns: " + took);
-            assertTrue(took > TimeUnit.MILLISECONDS.toNanos(3000), "nine calls in ns: " + took);
+            assertTrue(took < TimeUnit.MILLISECONDS.toNanos(9300), "ns for nine calls: " + took);
+            assertTrue(took > TimeUnit.MILLISECONDS.toNanos(3000), "ns for nine calls: " + took);
         }
     }
 
--- a/src/test/java/drumdeal/relay/IdleClientsTest.java
+++ b/src/test/java/drumdeal/relay/IdleClientsTest.java
@@ -62,6 +62,6 @@
         await(() -> relay.log().contains("discovery: version 2"));
         assertEquals(202, relay.submit("new", "safe", 9));
         await(() -> host.hasReceived("new"));
-        assertTrue(relay.countOpenDescriptors() <= DESCRIPTOR_LIMIT, "descriptors: " + relay.countOpenDescriptors());
+        assertTrue(relay.countOpenDescriptors() <= DESCRIPTOR_LIMIT, "open descriptors: " + relay.countOpenDescriptors());
     }
 }
--- a/src/test/java/drumdeal/relay/InputValidationTest.java
+++ b/src/test/java/drumdeal/relay/InputValidationTest.java
@@ -106,7 +106,7 @@
             }
             await(() -> other.countRequests("POST /receive") == 10);
             assertEquals(0, host.countRequests("POST"));
-            assertEquals(202, relay.submit("new", "safe", 9), "a destination that is new in the list");
+            assertEquals(202, relay.submit("new", "safe", 9), "a destination that the changes add");
         }
     }
 
--- a/src/test/java/drumdeal/relay/MalformedResponseTest.java
+++ b/src/test/java/drumdeal/relay/MalformedResponseTest.java
@@ -58,7 +58,7 @@
             relay.submit("u" + i, "unsafe", 7);
             await(() -> host.requests.size() == sent && relay.readOpenMessages().isEmpty());
         }
-        assertEquals(0, discovery.countRequests("POST"), "all were delivered");
+        assertEquals(0, discovery.countRequests("POST"), "no notices, as all messages count as delivered");
     }
 
     @Test
--- a/src/test/java/drumdeal/relay/PipelinedRequestsTest.java
+++ b/src/test/java/drumdeal/relay/PipelinedRequestsTest.java
@@ -64,7 +64,7 @@
         client.runPendingTasks();
         assertEquals(REQUEST_COUNT, countEvents(RESPONSE));
         assertTrue(events.subList(0, events.indexOf(OTHER_TASK)).stream().filter(RESPONSE::equals).count() <= 16,
-                "answers before the others' turn: " + events.indexOf(OTHER_TASK));
-        assertTrue(countEvents(FLUSH) <= REQUEST_COUNT / 4, "writes to the network: " + countEvents(FLUSH));
+                "events before the other task: " + events.indexOf(OTHER_TASK));
+        assertTrue(countEvents(FLUSH) <= REQUEST_COUNT / 4, "flushes: " + countEvents(FLUSH));
     }
 }
--- a/src/test/java/drumdeal/relay/UnreadRequestTest.java
+++ b/src/test/java/drumdeal/relay/UnreadRequestTest.java
@@ -51,11 +51,11 @@
     private void assertBudgetIncludesUnreadTime(boolean known) throws IOException, InterruptedException {
         // On a busy machine a request may wait so long that the relay rejects it; then another one is submitted.
         while (submitUnread(known, 150).status() != 202) {
-            assertTrue(submissionCount < 20, "every request was refused");
+            assertTrue(submissionCount < 20, "every request was rejected");
         }
         await(() -> host.requests.size() == 1);
         int budget = Integer.parseInt(host.requests.get(0).headers().get("x-budget-ms"));
-        assertTrue(budget <= BUDGET_MILLIS - waitedMillis, "waited " + waitedMillis + " ms, budget " + budget);
+        assertTrue(budget <= BUDGET_MILLIS - waitedMillis, "unread for " + waitedMillis + " ms, budget in ms: " + budget);
     }
 
     @Test
--- a/src/test/java/drumdeal/relay/UnresponsiveDiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/UnresponsiveDiscoveryTest.java
@@ -115,7 +115,7 @@
             for (int times = 0; times < 2; times++) {
                 Call silent = lastCall();
                 timeOutLastCall();
-                assertTrue(lastCall().startedAtMillis() + 1000 <= silent.deemedDeliveredAtMillis(), "asked anew at " + lastCall().startedAtMillis() + ", told by " + silent.deemedDeliveredAtMillis());
+                assertTrue(lastCall().startedAtMillis() + 1000 <= silent.deemedDeliveredAtMillis(), "called again at " + lastCall().startedAtMillis() + ", change counts as delivered at " + silent.deemedDeliveredAtMillis());
                 lastCall().callback().handle(200, emptyListUpdate(calls.size()));
                 advanceToNextCall();
             }
@@ -131,7 +131,7 @@
         discovery.moveTo(null, settings(3, 6, 1000));
         advanceToNextCall();
         timeOutLastCall();
-        assertTrue(lastCall().startedAtMillis() - moved < 4000, "asked anew after ms: " + (lastCall().startedAtMillis() - moved));
+        assertTrue(lastCall().startedAtMillis() - moved < 4000, "called again after ms: " + (lastCall().startedAtMillis() - moved));
     }
 
     private static Policy.Settings settings(long seed, int fleet, long graceMs) {
@@ -173,7 +173,7 @@
                 failing.callback().handle(failure.status, "");
                 advanceToNextCall();
             }
-            assertTrue(lastCall().startedAtMillis() + RESPONSE_TIME_MILLIS <= back + DEEMED_DELIVERED_MILLIS, "back at " + back + ", asked anew at " + lastCall().startedAtMillis());
+            assertTrue(lastCall().startedAtMillis() + RESPONSE_TIME_MILLIS <= back + DEEMED_DELIVERED_MILLIS, "outage ended at " + back + ", called again at " + lastCall().startedAtMillis());
         }
     }
 
@@ -187,8 +187,8 @@
             timeOutLastCall();
             pauses.add(lastCall().startedAtMillis() - silent.startedAtMillis() - silent.timeoutMillis());
         }
-        assertTrue(pauses.get(4) >= 1600, "pauses " + pauses);
-        assertTrue(pauses.get(4) <= 4800, "pauses " + pauses);
+        assertTrue(pauses.get(4) >= 1600, "pauses in ms: " + pauses);
+        assertTrue(pauses.get(4) <= 4800, "pauses in ms: " + pauses);
     }
 
     /**
@@ -206,7 +206,7 @@
             lastCall().callback().handle(200, emptyListUpdate(7));
             long told = nowMillis;
             advanceToNextCall();
-            assertTrue(lastCall().startedAtMillis() - told < grace, "asked anew after ms: " + (lastCall().startedAtMillis() - told));
+            assertTrue(lastCall().startedAtMillis() - told < grace, "called again after ms: " + (lastCall().startedAtMillis() - told));
         }
     }
 }
