--- a/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
+++ b/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
@@ -52,13 +52,13 @@
     @Test
     void truncatedResponseIsRequestedAgainAndAnIndentedOneIsParsed() throws IOException {
         AtomicInteger watches = new AtomicInteger();
-        String news = respondWith(200, RelayProcess.targetListJson(2, false,
+        String listUpdate = respondWith(200, RelayProcess.targetListJson(2, false,
                 RelayProcess.targetJson("h1", 7, "one", "terminating", host.address())).replace("{", "{\n  ").replace(",", " ,\n  ")
                 .replace(":", ": ").replace("127.0.0.1: ", "127.0.0.1:"));
         discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204)
                 : switch (watches.incrementAndGet()) {
-                    case 1 -> sendTruncated(news);
-                    case 2 -> news;
+                    case 1 -> sendTruncated(listUpdate);
+                    case 2 -> listUpdate;
                     default -> StubPeer.NO_RESPONSE;
                 });
         relay.start();
@@ -70,10 +70,10 @@
     }
 
     /** Writes the first half of a response, after which the connection is closed. */
-    private String sendTruncated(String answer) {
+    private String sendTruncated(String response) {
         try {
             discovery.connections.get(discovery.connections.size() - 1).getOutputStream()
-                    .write(answer.substring(0, answer.length() / 2).getBytes());
+                    .write(response.substring(0, response.length() / 2).getBytes());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/test/java/drumdeal/relay/BadClientTest.java
+++ b/src/test/java/drumdeal/relay/BadClientTest.java
@@ -60,12 +60,12 @@
             connect();
         }
         relay.resume();
-        int most = 0;
+        int maxDescriptors = 0;
         for (Socket socket : openSockets) {
-            most = Math.max(most, relay.countOpenDescriptors());
+            maxDescriptors = Math.max(maxDescriptors, relay.countOpenDescriptors());
             assertEquals(-1, readByte(socket));
         }
-        assertTrue(most <= 256, "open descriptors: " + most);
+        assertTrue(maxDescriptors <= 256, "open descriptors: " + maxDescriptors);
     }
 
     @Test
@@ -73,17 +73,17 @@
         relay.start();
         String message = RelayProcess.messageRequest("slow", "safe", 7, 20_000, "hello");
         Socket slow = connect();
-        int sent = 0;
+        int sentCount = 0;
         for (int i = 0; i < 300; i++) {
             connect().getOutputStream().write("POST /api HTTP/1.1\r\nHost:".getBytes());
             if (i % 15 == 0) {
-                slow.getOutputStream().write(message.charAt(sent++));
+                slow.getOutputStream().write(message.charAt(sentCount++));
                 // Once this is answered, the relay has accepted all connections that were opened before.
                 relay.exchange("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
             }
         }
         assertEquals(202, relay.submit("quick", "safe", 7), "a request that arrives whole is accepted");
-        assertEquals(202, RelayProcess.exchange(slow, message.substring(sent)).status());
+        assertEquals(202, RelayProcess.exchange(slow, message.substring(sentCount)).status());
     }
 
     @Test
@@ -101,9 +101,9 @@
     @Test
     void clientThatStopsInTheMiddleOfARequestGetsStatus408AndIsDisconnected() throws IOException {
         relay.start();
-        for (String half : List.of("POST /api HT", RelayProcess.messageRequest("h1", "safe", 7, 1000, "hello").replace("hello", "h"))) {
+        for (String partialRequest : List.of("POST /api HT", RelayProcess.messageRequest("h1", "safe", 7, 1000, "hello").replace("hello", "h"))) {
             Socket socket = connect();
-            assertEquals(408, RelayProcess.exchange(socket, half).status());
+            assertEquals(408, RelayProcess.exchange(socket, partialRequest).status());
             assertEquals(-1, readByte(socket));
         }
         Socket socket = connect();
@@ -118,9 +118,9 @@
         assertEquals(413, RelayProcess.exchange(connect(), head).status());
         Socket socket = connect();
         socket.getOutputStream().write(head.getBytes());
-        byte[] piece = new byte[1_000_000];
+        byte[] chunk = new byte[1_000_000];
         for (int i = 0; i < 60; i++) {
-            socket.getOutputStream().write(piece);
+            socket.getOutputStream().write(chunk);
         }
         assertEquals(413, RelayProcess.exchange(socket, "").status());
         assertEquals(-1, readByte(socket));
@@ -129,18 +129,18 @@
     @Test
     void requestWithAmbiguousOrInvalidLengthIsRejected() throws IOException {
         relay.start();
-        String good = RelayProcess.messageRequest("d1", "safe", 7, 1000, "0\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n");
-        String length = "Content-Length: 30\r\n";
-        assertTrue(good.contains(length), good);
-        for (String lengths : List.of(length + "Transfer-Encoding: chunked\r\n", length + length,
-                "Transfer-Encoding: chunked\r\n" + length, "Content-Length: -5\r\n", "Content-Length: 0x5\r\n",
-                length + "Content-Length: 5\r\n", length + "Transfer-Encoding: xchunked\r\n",
+        String validRequest = RelayProcess.messageRequest("d1", "safe", 7, 1000, "0\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n");
+        String lengthHeader = "Content-Length: 30\r\n";
+        assertTrue(validRequest.contains(lengthHeader), validRequest);
+        for (String lengthHeaders : List.of(lengthHeader + "Transfer-Encoding: chunked\r\n", lengthHeader + lengthHeader,
+                "Transfer-Encoding: chunked\r\n" + lengthHeader, "Content-Length: -5\r\n", "Content-Length: 0x5\r\n",
+                lengthHeader + "Content-Length: 5\r\n", lengthHeader + "Transfer-Encoding: xchunked\r\n",
                 "Transfer-Encoding: identity\r\n", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n")) {
             Socket socket = connect();
-            assertEquals(400, RelayProcess.exchange(socket, good.replace(length, lengths)).status(), lengths);
-            assertEquals(-1, readByte(socket), lengths);
+            assertEquals(400, RelayProcess.exchange(socket, validRequest.replace(lengthHeader, lengthHeaders)).status(), lengthHeaders);
+            assertEquals(-1, readByte(socket), lengthHeaders);
         }
-        assertEquals(505, RelayProcess.exchange(connect(), good.replace("HTTP/1.1", "HTTP/1.0")).status());
+        assertEquals(505, RelayProcess.exchange(connect(), validRequest.replace("HTTP/1.1", "HTTP/1.0")).status());
         assertEquals(0, host.countRequests("POST"));
     }
 
@@ -159,11 +159,11 @@
     void hundredsOfPipelinedRequestsAreAllAnswered() throws IOException {
         relay.start();
         Socket socket = connect();
-        StringBuilder all = new StringBuilder();
+        StringBuilder requests = new StringBuilder();
         for (int i = 0; i < 400; i++) {
-            all.append(RelayProcess.messageRequest("p" + i, i % 2 == 0 ? "safe" : "nosuch", 7, 20_000, "x"));
+            requests.append(RelayProcess.messageRequest("p" + i, i % 2 == 0 ? "safe" : "nosuch", 7, 20_000, "x"));
         }
-        assertTrue(RelayProcess.exchange(socket, all.toString()).status() >= 202);
+        assertTrue(RelayProcess.exchange(socket, requests.toString()).status() >= 202);
         for (int i = 1; i < 400; i++) {
             int status = RelayProcess.exchange(socket, "").status();
             assertTrue(i % 2 == 0 ? status == 202 || status == 503 : status == 400, i + ": " + status);
@@ -173,13 +173,13 @@
     @Test
     void requestsAfterOneWithConnectionCloseAreIgnored() throws IOException {
         relay.start();
-        StringBuilder all = new StringBuilder(RelayProcess.messageRequest("last", "safe", 7, 20_000, "x")
+        StringBuilder requests = new StringBuilder(RelayProcess.messageRequest("last", "safe", 7, 20_000, "x")
                 .replace("Host: app.svc", "Host: app.svc\r\nConnection: close"));
         for (int i = 0; i < 20; i++) {
-            all.append(RelayProcess.messageRequest("behind" + i, "safe", 7, 20_000, "x"));
+            requests.append(RelayProcess.messageRequest("behind" + i, "safe", 7, 20_000, "x"));
         }
         Socket socket = connect();
-        assertEquals(202, RelayProcess.exchange(socket, all.toString()).status());
+        assertEquals(202, RelayProcess.exchange(socket, requests.toString()).status());
         assertEquals(-1, readByte(socket));
         await(() -> host.hasReceived("last"));
         assertEquals(202, relay.submit("after", "safe", 7));
@@ -194,10 +194,10 @@
             connect();
         }
         assertEquals(202, relay.submit("r1", "safe", 7));
-        String half = RelayProcess.messageRequest("b", "safe", 7, 1000, "x".repeat(65_000));
+        String request = RelayProcess.messageRequest("b", "safe", 7, 1000, "x".repeat(65_000));
         for (int i = 0; i < 300; i++) {
             try {
-                connect().getOutputStream().write(half.substring(0, half.length() - 1).getBytes());
+                connect().getOutputStream().write(request.substring(0, request.length() - 1).getBytes());
             } catch (SocketException e) {
                 // The relay had no room for this connection and has closed it.
             }
--- a/src/test/java/drumdeal/relay/ClientRequestTest.java
+++ b/src/test/java/drumdeal/relay/ClientRequestTest.java
@@ -10,13 +10,13 @@
 
 /** The deadline of a message, which follows from its budget and the arrival of its request. */
 class ClientRequestTest {
-    /** The deadline, in microseconds, of a request that arrived at {@code cameAt} with a budget in milliseconds. */
-    private static long deadline(long cameAt, String budgetMs) {
+    /** The deadline, in microseconds, of a request that arrived at {@code arrivedAt} with a budget in milliseconds. */
+    private static long deadline(long arrivedAt, String budgetMillis) {
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api");
-        head.headers().set(ClientServer.CALL_ID_HEADER, "m1").set("X-Call-Class", "safe").set(ClientServer.BUDGET_HEADER, budgetMs)
+        head.headers().set(ClientServer.CALL_ID_HEADER, "m1").set("X-Call-Class", "safe").set(ClientServer.BUDGET_HEADER, budgetMillis)
                 .set("X-Consignee", "dest=7");
         ClientRequest request = new ClientRequest(head);
-        request.setEarliestArrival(cameAt);
+        request.setEarliestArrival(arrivedAt);
         return request.parseContent().deadline();
     }
 
--- a/src/test/java/drumdeal/relay/DeliveryTest.java
+++ b/src/test/java/drumdeal/relay/DeliveryTest.java
@@ -27,14 +27,14 @@
 
     @Test
     void messageIsForwardedUnchanged() throws IOException {
-        String bytes = "\u0000\r\n\u00ff{}";
-        assertEquals(202, relay.start().submit("abc1", "keyed", 7, 20_000, bytes));
+        String body = "\u0000\r\n\u00ff{}";
+        assertEquals(202, relay.start().submit("abc1", "keyed", 7, 20_000, body));
         await(() -> host.requests.size() == 1);
         StubPeer.Request call = host.requests.get(0);
         assertEquals("POST /receive HTTP/1.1", call.requestLine());
         assertEquals("abc1", call.callId());
         assertEquals("key-abc1", call.headers().get("idempotency-key"));
-        assertEquals(bytes, call.body());
+        assertEquals(body, call.body());
         assertTrue(Integer.parseInt(call.headers().get("x-budget-ms")) <= 20_000);
     }
 
@@ -42,9 +42,9 @@
     void connectionIsReused() throws IOException {
         relay.start();
         for (int i = 0; i < 5; i++) {
-            int before = i;
+            int requestsBefore = i;
             assertEquals(202, relay.submit("id" + i, "safe", 7));
-            await(() -> host.requests.size() == before + 1);
+            await(() -> host.requests.size() == requestsBefore + 1);
         }
         assertEquals(1, host.connections.size());
     }
@@ -99,8 +99,8 @@
         await(() -> host.requests.size() == 1);
         relay.submit("w2", "safe", 7);
         await(() -> host.requests.size() == 3);
-        long gap = host.requests.get(1).receivedAtNanos() - host.requests.get(0).receivedAtNanos();
-        assertTrue(gap >= TimeUnit.MILLISECONDS.toNanos(1200), "ns between the calls: " + gap);
+        long gapNanos = host.requests.get(1).receivedAtNanos() - host.requests.get(0).receivedAtNanos();
+        assertTrue(gapNanos >= TimeUnit.MILLISECONDS.toNanos(1200), "ns between the calls: " + gapNanos);
     }
 
     @Test
@@ -202,18 +202,18 @@
         relay.roundPeriodSeconds("0.5").start();
         // On a busy machine a whole round may pass between the request and the disconnect. The message is then delivered
         // rightly, and the test tries again.
-        boolean forgotten = false;
-        for (int i = 0; i < MAX_TRIES && !forgotten; i++) {
-            String left = "left" + i;
-            String stayed = "stayed" + i;
+        boolean withdrawn = false;
+        for (int i = 0; i < MAX_TRIES && !withdrawn; i++) {
+            String leavingId = "left" + i;
+            String stayingId = "stayed" + i;
             try (Socket socket = relay.connect()) {
-                socket.getOutputStream().write(RelayProcess.messageRequest(left, "safe", 7, 20_000, "hello").getBytes());
+                socket.getOutputStream().write(RelayProcess.messageRequest(leavingId, "safe", 7, 20_000, "hello").getBytes());
             }
-            assertEquals(202, relay.submit(stayed, "safe", 7));
-            await(() -> host.hasReceived(stayed) && relay.readOpenMessages().isEmpty());
-            forgotten = !host.hasReceived(left);
+            assertEquals(202, relay.submit(stayingId, "safe", 7));
+            await(() -> host.hasReceived(stayingId) && relay.readOpenMessages().isEmpty());
+            withdrawn = !host.hasReceived(leavingId);
         }
-        assertTrue(forgotten, "the message of the client that disconnected was delivered in every try");
+        assertTrue(withdrawn, "the message of the client that disconnected was delivered in every try");
     }
 
     @Test
@@ -268,8 +268,8 @@
         assertEquals(202, relay.submit("r2", "safe", 7));
         await(() -> host.requests.size() == 3);
         assertEquals(2, host.connections.size(), "the idle connection breaks and the retry uses a new one");
-        long rested = host.requests.get(1).receivedAtNanos() - host.requests.get(0).receivedAtNanos();
-        Thread.sleep(rested / 1_000_000);
+        long idleNanos = host.requests.get(1).receivedAtNanos() - host.requests.get(0).receivedAtNanos();
+        Thread.sleep(idleNanos / 1_000_000);
         assertEquals(202, relay.submit("r3", "safe", 7));
         await(() -> host.requests.size() == 4);
         assertEquals(3, host.connections.size(), "a connection idle as long as the one that broke is not reused");
@@ -291,17 +291,17 @@
      * Makes the host refuse the first call with status 503 and close its connection, as a host does that accepts no more
      * connections. Later calls get their response from the function.
      */
-    private void simulateScarceConnections(Function<StubPeer.Request, String> others) {
+    private void simulateScarceConnections(Function<StubPeer.Request, String> laterResponses) {
         host.respondWith(request -> host.countRequests("POST") == 1 ? StubPeer.respondWithStatus(503, "Connection: close")
-                : others.apply(request));
+                : laterResponses.apply(request));
     }
 
     @Test
     void atTheConnectionLimitIdleConnectionsAreClosedAndCallsWaitForOpenOnes() throws IOException, InterruptedException {
-        CountDownLatch free = new CountDownLatch(1);
+        CountDownLatch mayRespondToB = new CountDownLatch(1);
         simulateScarceConnections(request -> {
             if ("b".equals(request.callId())) {
-                await(() -> free.getCount() == 0);
+                await(() -> mayRespondToB.getCount() == 0);
             }
             return respondWithStatus(200);
         });
@@ -313,42 +313,42 @@
         await(() -> host.hasReceived("b"));
         assertEquals(202, relay.submit("c", "safe", 7));
         Thread.sleep(500);
-        free.countDown();
+        mayRespondToB.countDown();
         await(() -> host.hasReceived("c"));
         assertEquals(3, host.connections.size(), "the connection of b is used for c too");
     }
 
     @Test
     void connectionLimitOfOneHostClosesIdleConnectionsToAllHostsOfItsKind() throws IOException, InterruptedException {
-        try (StubPeer other = StubPeer.always(respondWithStatus(200))) {
+        try (StubPeer otherHost = StubPeer.always(respondWithStatus(200))) {
             simulateScarceConnections(request -> respondWithStatus(200));
-            relay.addTarget("h2", 9, "one", other).start();
+            relay.addTarget("h2", 9, "one", otherHost).start();
             assertEquals(202, relay.submit("kept", "safe", 9));
-            await(() -> other.hasReceived("kept"));
+            await(() -> otherHost.hasReceived("kept"));
             assertEquals(202, relay.submit("a", "safe", 7));
             await(() -> host.requests.size() == 2);
             // The calls follow each other so fast that one connection, kept for the idle time in the settings, would
             // carry them all.
-            for (int i = 0; i < 50 && other.connections.size() < 3; i++) {
+            for (int i = 0; i < 50 && otherHost.connections.size() < 3; i++) {
                 assertEquals(202, relay.submit("b" + i, "safe", 9));
                 Thread.sleep(100);
             }
-            assertEquals(3, other.connections.size(), "each call uses a connection of its own");
+            assertEquals(3, otherHost.connections.size(), "each call uses a connection of its own");
         }
     }
 
     @Test
     void retryThatGetsAConnectionAfterTheDedupWindowIsNotSent() throws IOException {
         // "k" fails and is due for a retry, but "b" holds the only connection until the dedup window of 5 s is over.
-        CountDownLatch waiting = new CountDownLatch(1);
-        CountDownLatch late = new CountDownLatch(1);
+        CountDownLatch mayRespondToK = new CountDownLatch(1);
+        CountDownLatch mayRespondToB = new CountDownLatch(1);
         simulateScarceConnections(request -> {
             if ("k".equals(request.callId())) {
-                await(() -> waiting.getCount() == 0);
+                await(() -> mayRespondToK.getCount() == 0);
                 return respondWithStatus(500);
             }
             if ("b".equals(request.callId())) {
-                await(() -> late.getCount() == 0);
+                await(() -> mayRespondToB.getCount() == 0);
             }
             return respondWithStatus(200);
         });
@@ -357,13 +357,13 @@
         await(() -> host.requests.size() == 2);
         assertEquals(202, relay.submit("k", "keyed", 7, 9000, "hello"));
         await(() -> host.hasReceived("k"));
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         assertEquals(202, relay.submit("b", "unsafe", 7));
-        await(() -> System.nanoTime() - from > 500_000_000L);
-        waiting.countDown();
+        await(() -> System.nanoTime() - startNanos > 500_000_000L);
+        mayRespondToK.countDown();
         await(() -> host.hasReceived("b"));
-        await(() -> System.nanoTime() - from > 5_200_000_000L);
-        late.countDown();
+        await(() -> System.nanoTime() - startNanos > 5_200_000_000L);
+        mayRespondToB.countDown();
         await(() -> relay.hasSentNotice("k", "dead"));
         assertEquals(1, host.requests.stream().filter(r -> "k".equals(r.callId())).count());
     }
--- a/src/test/java/drumdeal/relay/DiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/DiscoveryTest.java
@@ -19,8 +19,8 @@
     }
 
     /** Makes discovery acknowledge notices and give the same response to every other request. */
-    private void answerWatches(String answer) {
-        discovery.respondWith(request -> request.requestLine().startsWith("POST /status") ? StubPeer.respondWithStatus(204) : answer);
+    private void answerWatches(String response) {
+        discovery.respondWith(request -> request.requestLine().startsWith("POST /status") ? StubPeer.respondWithStatus(204) : response);
     }
 
     @Test
@@ -33,19 +33,19 @@
     @Test
     void pausesGrowWhileDiscoveryFails() throws IOException {
         answerWatches(StubPeer.respondWithStatus(503));
-        long before = System.nanoTime();
+        long startNanos = System.nanoTime();
         relay.start();
         await(() -> discovery.countRequests("GET /api/targets") == 5);
         // The shortest possible pauses are 0.2, 0.4, 0.8 and 1.6 s.
-        assertTrue(System.nanoTime() - before >= TimeUnit.SECONDS.toNanos(3));
+        assertTrue(System.nanoTime() - startNanos >= TimeUnit.SECONDS.toNanos(3));
         assertEquals(202, relay.submit("a", "safe", 7), "the known list stays in use meanwhile");
         await(() -> host.hasReceived("a"));
     }
 
     @Test
     void listOfAnOlderVersionIsIgnored() throws IOException {
-        String other = targetJson("h2", 7, "one", "in_service", "127.0.0.1:9");
-        answerWatches(StubPeer.respondWith(200, targetListJson(0, true, other)));
+        String otherTarget = targetJson("h2", 7, "one", "in_service", "127.0.0.1:9");
+        answerWatches(StubPeer.respondWith(200, targetListJson(0, true, otherTarget)));
         relay.start();
         await(() -> discovery.countRequests("GET /api/targets?after=1&") == 2);
         assertTrue(relay.log().contains("version 0 is older than 1"), relay.log());
@@ -55,11 +55,11 @@
 
     /**
      * A relay in a fleet of the given size. Its configuration contains no targets, so it requests the list at once, and
-     * has {@code rules} at the start of its {@code contract} settings.
+     * has the given text at the start of its {@code contract} settings.
      */
-    private RelayProcess createRelayInFleetOf(int size, String rules) {
+    private RelayProcess createRelayInFleetOf(int size, String contractSettings) {
         return new RelayProcess(folder, discovery).editConfiguration(text -> text.replace("\"fleet-size\":1,",
-                "\"fleet-size\":" + size + ",").replace("\"contract\":{", "\"contract\":{" + rules));
+                "\"fleet-size\":" + size + ",").replace("\"contract\":{", "\"contract\":{" + contractSettings));
     }
 
     /** Makes discovery answer every request for the list with version 2. */
@@ -70,21 +70,21 @@
     @Test
     void relayOfALargeFleetFetchesTheListPeriodicallyInsteadOfWatching() throws IOException {
         publishNewList();
-        try (RelayProcess one = createRelayInFleetOf(100, "\"must-ask-in-s\":10,")) {
-            one.start();
+        try (RelayProcess fleetRelay = createRelayInFleetOf(100, "\"must-ask-in-s\":10,")) {
+            fleetRelay.start();
             await(() -> discovery.countRequests("GET /api/targets ") == 2);
-            long pause = discovery.requests.get(1).receivedAtNanos() - discovery.requests.get(0).receivedAtNanos();
-            assertTrue(pause >= TimeUnit.SECONDS.toNanos(2), "ns between the fetches: " + pause);
+            long pauseNanos = discovery.requests.get(1).receivedAtNanos() - discovery.requests.get(0).receivedAtNanos();
+            assertTrue(pauseNanos >= TimeUnit.SECONDS.toNanos(2), "ns between the fetches: " + pauseNanos);
             assertEquals(0, discovery.countRequests("GET /api/targets?"), "no watch: a change after its response would count as delivered");
-            assertEquals(1, one.log().split("discovery: version 2", -1).length - 1, one.log());
+            assertEquals(1, fleetRelay.log().split("discovery: version 2", -1).length - 1, fleetRelay.log());
         }
     }
 
     @Test
     void relayOfAVeryLargeFleetFetchesTheListWithinTheRequiredInterval() throws IOException {
         publishNewList();
-        try (RelayProcess one = createRelayInFleetOf(1_000_000, "\"must-ask-in-s\":4,")) {
-            one.start();
+        try (RelayProcess fleetRelay = createRelayInFleetOf(1_000_000, "\"must-ask-in-s\":4,")) {
+            fleetRelay.start();
             await(() -> discovery.countRequests("GET /api/targets ") == 3);
         }
     }
@@ -92,13 +92,13 @@
     @Test
     void failingNewAddressIsCalledOftenWhileItsListIsDue() throws IOException {
         relay.start();
-        try (StubPeer next = StubPeer.always(StubPeer.respondWithStatus(503))) {
-            relay.moveDiscovery(next);
-            await(() -> next.countRequests("GET /api/targets ") == 9);
-            long took = next.requests.get(8).receivedAtNanos() - next.requests.get(0).receivedAtNanos();
+        try (StubPeer newDiscovery = StubPeer.always(StubPeer.respondWithStatus(503))) {
+            relay.moveDiscovery(newDiscovery);
+            await(() -> newDiscovery.countRequests("GET /api/targets ") == 9);
+            long tookNanos = newDiscovery.requests.get(8).receivedAtNanos() - newDiscovery.requests.get(0).receivedAtNanos();
             // Pauses that double up to 3.2 s and vary by half either way would take at least 9.4 s.
-            assertTrue(took < TimeUnit.MILLISECONDS.toNanos(9300), "ns for nine calls: " + took);
-            assertTrue(took > TimeUnit.MILLISECONDS.toNanos(3000), "ns for nine calls: " + took);
+            assertTrue(tookNanos < TimeUnit.MILLISECONDS.toNanos(9300), "ns for nine calls: " + tookNanos);
+            assertTrue(tookNanos > TimeUnit.MILLISECONDS.toNanos(3000), "ns for nine calls: " + tookNanos);
         }
     }
 
@@ -107,18 +107,18 @@
         String list = targetListJson(2, true, targetJson("h1", 7, "one", "in_service", host.address()));
         // The pause grows with the response time of discovery. After a response that takes 2 s it is at least 22 s.
         discovery.respondWith(request -> {
-            long from = System.nanoTime();
-            await(() -> System.nanoTime() - from > 2_000_000_000L);
+            long receivedAtNanos = System.nanoTime();
+            await(() -> System.nanoTime() - receivedAtNanos > 2_000_000_000L);
             return StubPeer.respondWith(200, list);
         });
-        try (RelayProcess one = createRelayInFleetOf(100, "\"must-ask-in-s\":100,");
-                StubPeer next = RelayProcess.discoveryWithoutChanges()) {
-            one.start();
-            await(() -> one.log().contains("discovery: version 2"));
-            long told = System.nanoTime();
-            one.moveDiscovery(next);
-            await(() -> next.countRequests("GET /api/targets ") == 1);
-            assertTrue(System.nanoTime() - told < TimeUnit.SECONDS.toNanos(20));
+        try (RelayProcess fleetRelay = createRelayInFleetOf(100, "\"must-ask-in-s\":100,");
+                StubPeer newDiscovery = RelayProcess.discoveryWithoutChanges()) {
+            fleetRelay.start();
+            await(() -> fleetRelay.log().contains("discovery: version 2"));
+            long movedAtNanos = System.nanoTime();
+            fleetRelay.moveDiscovery(newDiscovery);
+            await(() -> newDiscovery.countRequests("GET /api/targets ") == 1);
+            assertTrue(System.nanoTime() - movedAtNanos < TimeUnit.SECONDS.toNanos(20));
         }
     }
 }
--- a/src/test/java/drumdeal/relay/IdleClientsTest.java
+++ b/src/test/java/drumdeal/relay/IdleClientsTest.java
@@ -42,9 +42,9 @@
         if (request.requestLine().startsWith("POST")) {
             return respondWithStatus(204);
         }
-        String known = targetJson("h1", 7, "one", "in_service", host.address());
-        String added = targetJson("h2", 9, "one", "in_service", host.address());
-        return isDiscoveryRestored ? respondWith(200, targetListJson(2, true, known, added)) : respondWithStatus(503);
+        String knownTarget = targetJson("h1", 7, "one", "in_service", host.address());
+        String addedTarget = targetJson("h2", 9, "one", "in_service", host.address());
+        return isDiscoveryRestored ? respondWith(200, targetListJson(2, true, knownTarget, addedTarget)) : respondWithStatus(503);
     }
 
     @Test
--- a/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
+++ b/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
@@ -41,14 +41,14 @@
     @BeforeEach
     void start() throws Exception {
         host = StubPeer.always(respondWithStatus(200));
-        Policy.RequestClass once = new Policy.RequestClass("once", Policy.Idempotency.ONCE, Policy.KeyScope.ALL, 0, 1, 20_000_000,
+        Policy.RequestClass requestClass = new Policy.RequestClass("once", Policy.Idempotency.ONCE, Policy.KeyScope.ALL, 0, 1, 20_000_000,
                 1, 0, false);
-        Policy.Settings settings = new Policy.Settings(1, 0, 1, "z", List.of(once), List.of(),
+        Policy.Settings settings = new Policy.Settings(1, 0, 1, "z", List.of(requestClass), List.of(),
                 List.of(new Policy.DestinationKind("one", false, 1)), List.of(),
                 new Policy.Limits(8, 8, 8, true, false, false, false, true, 1_000_000),
                 new Policy.ServiceRules(0, 1, 2, 1, 0.2, 1, 1, 0), 1, false, true, Policy.RateHint.NONE, 0);
-        InetSocketAddress none = Config.parseAddress("127.0.0.1:1");
-        Config config = new Config(none, null, none, null, 256, 1 << 20, settings, 5000, 100_000_000, false, -1, List.of(),
+        InetSocketAddress unusedAddress = Config.parseAddress("127.0.0.1:1");
+        Config config = new Config(unusedAddress, null, unusedAddress, null, 256, 1 << 20, settings, 5000, 100_000_000, false, -1, List.of(),
                 Map.of());
         Target target = new Target(new Policy.ListedRoute("h", 7, "one", "z", Policy.Availability.LISTED, 0),
                 Config.parseAddress(host.address()));
@@ -79,9 +79,9 @@
         await(() -> callOnEventLoop(client::connectionSummary).contains("(1 idle)"));
     }
 
-    private <T> T callOnEventLoop(Callable<T> look) {
+    private <T> T callOnEventLoop(Callable<T> task) {
         try {
-            return eventLoop.submit(look).get();
+            return eventLoop.submit(task).get();
         } catch (InterruptedException | ExecutionException e) {
             throw new AssertionError(e);
         }
@@ -117,16 +117,16 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void callIsNotSentOnAConnectionOnWhichTheHostHasBegunAStatusLine(boolean inTheSameStep) throws Exception {
+    void callIsNotSentOnAConnectionOnWhichTheHostHasBegunAStatusLine(boolean inTheSameTask) throws Exception {
         leaveConnectionIdle();
         host.respondWith(request -> respondWithStatus(503));
         eventLoop.submit(() -> {
             assertTrue(writeFromHost("HTTP/1.1 5"));
-            if (inTheSameStep) {
+            if (inTheSameTask) {
                 send("second");
             }
         }).sync();
-        if (!inTheSameStep) {
+        if (!inTheSameTask) {
             await(() -> callOnEventLoop(client::connections) == 0);
             eventLoop.submit(() -> send("second")).sync();
         }
@@ -213,12 +213,12 @@
     }
 
     @Override
-    public void attemptEnded(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report) {
+    public void attemptEnded(Message.Attempt attempt, Result result, boolean messageFinished, long retryAfter, LimitReport limitReport) {
         ended.add(result);
     }
 
     @Override
-    public void probeEnded(String route, Result result, long wait, long elapsed, LimitReport report) { }
+    public void probeEnded(String route, Result result, long retryAfter, long elapsed, LimitReport limitReport) { }
 
     @Override
     public void callWritten(int messages) { }
--- a/src/test/java/drumdeal/relay/InputValidationTest.java
+++ b/src/test/java/drumdeal/relay/InputValidationTest.java
@@ -31,8 +31,8 @@
         if (request.requestLine().startsWith("POST")) {
             return respondWithStatus(204);
         }
-        String told = nextListUpdate.getAndSet(null);
-        return told != null ? respondWith(200, told) : request.requestLine().contains("after=") ? StubPeer.NO_RESPONSE
+        String listUpdate = nextListUpdate.getAndSet(null);
+        return listUpdate != null ? respondWith(200, listUpdate) : request.requestLine().contains("after=") ? StubPeer.NO_RESPONSE
                 : respondWith(200, targetListJson(1, true, targetJson("h1", 7, "one", "in_service", host.address())));
     }
 
@@ -41,15 +41,15 @@
         relay.start();
         // The second watch shows that the relay has applied the first response: the list known at the start is current.
         await(() -> discovery.countRequests("GET /api/targets?after=1&") == 2);
-        String good = RelayProcess.messageRequest("x1", "keyed", 7, 1000, "hello");
+        String validRequest = RelayProcess.messageRequest("x1", "keyed", 7, 1000, "hello");
         assertEquals(400, relay.submit("x2", "nosuch", 7));
         assertEquals(400, relay.submit("x3", "safe", 99));
-        assertEquals(400, relay.exchange(good.replace("dest=7", "dest=")).status());
-        assertEquals(400, relay.exchange(good.replace("dest=7", "dest=99999999999")).status());
-        assertEquals(400, relay.exchange(good.replace("Idempotency-Key: key-x1\r\n", "")).status());
-        assertEquals(400, relay.exchange(good.replace("X-Call-Id: x1\r\n", "")).status());
-        assertEquals(400, relay.exchange(good.replace("Budget-Ms: 1000", "Budget-Ms: -1")).status());
-        assertEquals(400, relay.exchange(good.replace("acme", "nobody")).status());
+        assertEquals(400, relay.exchange(validRequest.replace("dest=7", "dest=")).status());
+        assertEquals(400, relay.exchange(validRequest.replace("dest=7", "dest=99999999999")).status());
+        assertEquals(400, relay.exchange(validRequest.replace("Idempotency-Key: key-x1\r\n", "")).status());
+        assertEquals(400, relay.exchange(validRequest.replace("X-Call-Id: x1\r\n", "")).status());
+        assertEquals(400, relay.exchange(validRequest.replace("Budget-Ms: 1000", "Budget-Ms: -1")).status());
+        assertEquals(400, relay.exchange(validRequest.replace("acme", "nobody")).status());
         assertEquals(413, relay.submit("x4", "safe", 7, 1000, "x".repeat((64 << 10) + 1)));
         assertEquals(404, relay.exchange("GET /nosuch HTTP/1.1\r\nHost: x\r\n\r\n").status());
         assertEquals(405, relay.exchange("GET /api HTTP/1.1\r\nHost: x\r\n\r\n").status());
@@ -64,9 +64,9 @@
         relay.start();
         try (Socket socket = relay.connect()) {
             assertEquals(400, RelayProcess.exchange(socket, RelayProcess.messageRequest("o1", "no", 7, 9, "x")).status());
-            String two = RelayProcess.messageRequest("o2", "safe", 7, 20_000, "x")
+            String twoRequests = RelayProcess.messageRequest("o2", "safe", 7, 20_000, "x")
                     + RelayProcess.messageRequest("o3", "safe", 7, 20_000, "x");
-            assertEquals(202, RelayProcess.exchange(socket, two).status());
+            assertEquals(202, RelayProcess.exchange(socket, twoRequests).status());
             assertEquals(202, RelayProcess.exchange(socket, "").status());
         }
         await(() -> host.requests.size() == 2);
@@ -94,17 +94,17 @@
 
     @Test
     void drainingHostGetsNoNewMessages() throws IOException {
-        try (StubPeer other = StubPeer.always(respondWithStatus(200))) {
+        try (StubPeer otherHost = StubPeer.always(respondWithStatus(200))) {
             relay.start();
             await(() -> discovery.requests.stream().anyMatch(r -> r.requestLine().contains("after=1&")));
             nextListUpdate.set(targetListJson(2, false, targetJson("h1", 7, "one", "terminating", host.address()),
-                    targetJson("h2", 7, "one", "in_service", other.address()),
-                    targetJson("h3", 9, "one", "in_service", other.address())));
+                    targetJson("h2", 7, "one", "in_service", otherHost.address()),
+                    targetJson("h3", 9, "one", "in_service", otherHost.address())));
             await(() -> discovery.requests.stream().anyMatch(r -> r.requestLine().contains("after=2&")));
             for (int i = 0; i < 10; i++) {
                 assertEquals(202, relay.submit("d" + i, "safe", 7));
             }
-            await(() -> other.countRequests("POST /receive") == 10);
+            await(() -> otherHost.countRequests("POST /receive") == 10);
             assertEquals(0, host.countRequests("POST"));
             assertEquals(202, relay.submit("new", "safe", 9), "a destination that the changes add");
         }
--- a/src/test/java/drumdeal/relay/MalformedResponseTest.java
+++ b/src/test/java/drumdeal/relay/MalformedResponseTest.java
@@ -25,38 +25,38 @@
 
     @Test
     void unsafeMessageEndsAsDeadAfterAMalformedResponse() throws IOException {
-        List<String> spoilt = List.of("HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\n", "HTTP/1.1 410 X\r\n" + OVERSIZED_BODY,
+        List<String> malformedResponses = List.of("HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\n", "HTTP/1.1 410 X\r\n" + OVERSIZED_BODY,
                 "HTTP/1.1 429 X\r\nX-Come-Back-Ms: 60000\r\nContent-Length: -1\r\n\r\n",
                 "HTTP/1.1 504 X\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                 "HTTP/1.1 404 X\r\nEndless: " + "x".repeat(20_000), "HTTP/1.1 101 X\r\n\r\n", "HTTP/1.1 ", "noise");
         relay.start();
-        for (int i = 0; i < spoilt.size(); i++) {
+        for (int i = 0; i < malformedResponses.size(); i++) {
             String id = "u" + i;
-            String text = spoilt.get(i);
-            host.respondWith(request -> text);
+            String malformedResponse = malformedResponses.get(i);
+            host.respondWith(request -> malformedResponse);
             relay.submit(id, "unsafe", 7);
             await(() -> relay.hasSentNotice(id, "dead"));
             host.respondWith(request -> respondWithStatus(200));
-            int sent = host.requests.size();
+            int requestsBefore = host.requests.size();
             relay.submit("s" + i, "safe", 7);
-            await(() -> host.requests.size() > sent && relay.readOpenMessages().isEmpty());
+            await(() -> host.requests.size() > requestsBefore && relay.readOpenMessages().isEmpty());
         }
-        assertEquals(2 * spoilt.size(), host.requests.size());
+        assertEquals(2 * malformedResponses.size(), host.requests.size());
     }
 
     @Test
     void statusLine200DeliversASingleMessageWhateverFollows() throws IOException {
-        List<String> spoilt = List.of("HTTP/1.1 200 X\r\nEndless: " + "x".repeat(20_000), "HTTP/1.1 200 X\r\n" + OVERSIZED_BODY,
+        List<String> malformedResponses = List.of("HTTP/1.1 200 X\r\nEndless: " + "x".repeat(20_000), "HTTP/1.1 200 X\r\n" + OVERSIZED_BODY,
                 "HTTP/1.1 200 X\r\nbad\u0000head\r\nContent-Length: 0\r\n\r\n",
                 "HTTP/1.1 200 X\r\nContent-Length: 1, 2\r\n\r\n", "HTTP/1.1 200 X\r\nHalf",
                 "HTTP/1.1 100 X\r\n\r\nHTTP/1.1 200 X\r\nContent-Length: 7\r\n\r\n");
         relay.start();
-        for (int i = 0; i < spoilt.size(); i++) {
-            int sent = i + 1;
-            String text = spoilt.get(i);
-            host.respondWith(request -> text);
+        for (int i = 0; i < malformedResponses.size(); i++) {
+            int requestCount = i + 1;
+            String malformedResponse = malformedResponses.get(i);
+            host.respondWith(request -> malformedResponse);
             relay.submit("u" + i, "unsafe", 7);
-            await(() -> host.requests.size() == sent && relay.readOpenMessages().isEmpty());
+            await(() -> host.requests.size() == requestCount && relay.readOpenMessages().isEmpty());
         }
         assertEquals(0, discovery.countRequests("POST"), "no notices, as all messages count as delivered");
     }
@@ -88,14 +88,14 @@
     @Test
     void bytesAfterAResponseAreNotTakenForTheNextResponse() throws IOException {
         relay.start();
-        for (String behind : List.of(respondWithStatus(200), "\u0001\u0002" + respondWithStatus(200), "noise\r\n\r\n" + respondWithStatus(200))) {
-            host.respondWith(request -> respondWithStatus(200) + behind);
-            long sent = host.countRequests("POST");
-            relay.submit("first" + sent, "unsafe", 7);
-            await(() -> host.countRequests("POST") > sent && relay.readOpenMessages().isEmpty());
+        for (String extraBytes : List.of(respondWithStatus(200), "\u0001\u0002" + respondWithStatus(200), "noise\r\n\r\n" + respondWithStatus(200))) {
+            host.respondWith(request -> respondWithStatus(200) + extraBytes);
+            long requestsBefore = host.countRequests("POST");
+            relay.submit("first" + requestsBefore, "unsafe", 7);
+            await(() -> host.countRequests("POST") > requestsBefore && relay.readOpenMessages().isEmpty());
             host.respondWith(request -> request.requestLine().startsWith("POST") ? StubPeer.CLOSE_CONNECTION : respondWithStatus(200));
-            relay.submit("next" + sent, "unsafe", 7);
-            await(() -> relay.hasSentNotice("next" + sent, "dead"));
+            relay.submit("next" + requestsBefore, "unsafe", 7);
+            await(() -> relay.hasSentNotice("next" + requestsBefore, "dead"));
         }
         assertTrue(relay.isAlive());
     }
--- a/src/test/java/drumdeal/relay/RaceConditionTest.java
+++ b/src/test/java/drumdeal/relay/RaceConditionTest.java
@@ -33,11 +33,11 @@
     void endSignalBeforeTheRelayListensAbortsItsStart() throws IOException, InterruptedException {
         Files.createDirectories(relay.stateFolder());
         // Stands for another process of this relay that accepts no connection: the start waits for it.
-        try (FileChannel owner = FileChannel.open(relay.stateFolder().resolve("owner.lock"), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE); FileLock held = owner.lock();
-                ServerSocketChannel silent = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-            assertTrue(held.isValid());
-            silent.bind(Handover.socketAddress(relay.stateFolder()));
+        try (FileChannel lockFile = FileChannel.open(relay.stateFolder().resolve("owner.lock"), StandardOpenOption.CREATE,
+                StandardOpenOption.WRITE); FileLock lock = lockFile.lock();
+                ServerSocketChannel handoverSocket = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+            assertTrue(lock.isValid());
+            handoverSocket.bind(Handover.socketAddress(relay.stateFolder()));
             relay.startWithoutWaiting();
             await(() -> relay.log().contains("operators at"));
             relay.terminate();
@@ -50,14 +50,14 @@
     @Test
     void requestThatIsNeverCompletedIsRejectedBeforeAGracefulStopEnds() throws IOException, InterruptedException {
         relay.start();
-        try (Socket half = relay.connect()) {
+        try (Socket incomplete = relay.connect()) {
             String message = messageRequest("half", "safe", 7, 20_000, "hello");
-            half.getOutputStream().write(message.substring(0, message.length() - 1).getBytes());
+            incomplete.getOutputStream().write(message.substring(0, message.length() - 1).getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
             // The last byte never arrives. Either the timeout of the request (408) or the end of the stop (503) rejects it.
-            RelayProcess.Response answer = RelayProcess.exchange(half, "");
-            assertTrue(answer.status() == 503 || answer.status() == 408, answer.head());
+            RelayProcess.Response response = RelayProcess.exchange(incomplete, "");
+            assertTrue(response.status() == 503 || response.status() == 408, response.head());
         }
         assertTrue(relay.waitForExit());
         assertFalse(host.hasReceived("half"));
@@ -66,8 +66,8 @@
     @Test
     void requestBegunDuringAGracefulStopIsRejectedBeforeTheStopEnds() throws IOException, InterruptedException {
         relay.start();
-        try (Socket busy = relay.connect()) {
-            busy.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
+        try (Socket early = relay.connect()) {
+            early.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
             // The timeout of the late request, 2.5 s from connecting, would end after the process has exited.
@@ -84,12 +84,12 @@
     void secondEndSignalDoesNotAffectAnIncompleteRequest() throws IOException, InterruptedException {
         relay.start();
         String message = messageRequest("twice", "safe", 7, 20_000, "hello");
-        try (Socket begun = relay.connect()) {
-            begun.getOutputStream().write(message.substring(0, message.length() - 1).getBytes());
+        try (Socket incomplete = relay.connect()) {
+            incomplete.getOutputStream().write(message.substring(0, message.length() - 1).getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
             relay.terminate();
-            assertEquals(202, RelayProcess.exchange(begun, message.substring(message.length() - 1)).status());
+            assertEquals(202, RelayProcess.exchange(incomplete, message.substring(message.length() - 1)).status());
         }
         assertTrue(relay.waitForExit());
         relay.start();
@@ -100,14 +100,14 @@
     @Test
     void requestSentWhileItsConnectionClosesMeetsAnOrderlyEndAndNoReset() throws IOException, InterruptedException {
         relay.start();
-        try (Socket unfinished = relay.connect(); Socket kept = relay.connect()) {
-            unfinished.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
-            assertEquals(200, RelayProcess.exchange(kept, READY_REQUEST).status());
+        try (Socket incomplete = relay.connect(); Socket idle = relay.connect()) {
+            incomplete.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
+            assertEquals(200, RelayProcess.exchange(idle, READY_REQUEST).status());
             relay.terminate();
-            assertEquals(-1, kept.getInputStream().read());
-            kept.getOutputStream().write(messageRequest("crossing", "safe", 7, 20_000, "hello").getBytes());
+            assertEquals(-1, idle.getInputStream().read());
+            idle.getOutputStream().write(messageRequest("crossing", "safe", 7, 20_000, "hello").getBytes());
             // Fails with an exception if the relay has reset the connection.
-            kept.getOutputStream().write('x');
+            idle.getOutputStream().write('x');
         }
         assertTrue(relay.waitForExit());
         assertFalse(host.hasReceived("crossing"));
@@ -141,16 +141,16 @@
         relay.start();
         assertEquals(202, relay.submit("held", "unsafe", 7));
         await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream()).anyMatch(a -> a.result != null));
-        try (StubPeer elsewhere = RelayProcess.discoveryWithoutChanges()) {
-            relay.moveDiscovery(elsewhere);
+        try (StubPeer newDiscovery = RelayProcess.discoveryWithoutChanges()) {
+            relay.moveDiscovery(newDiscovery);
             relay.terminate();
             assertTrue(relay.waitForExit());
-            long before = countCalls("held");
+            long callsBefore = countCalls("held");
             host.respondWith(request -> respondWithStatus(200));
             relay.start();
             await(() -> relay.readOpenMessages().isEmpty());
-            assertEquals(before + 1, countCalls("held"));
-            assertEquals(0, elsewhere.countRequests("POST /status"));
+            assertEquals(callsBefore + 1, countCalls("held"));
+            assertEquals(0, newDiscovery.countRequests("POST /status"));
         }
         assertFalse(relay.hasSentNotice("held", "dead") || relay.hasSentNotice("held", "bounced"));
     }
@@ -176,8 +176,8 @@
             throws IOException, InterruptedException {
         host.respondWith(request -> StubPeer.NO_RESPONSE);
         relay.start();
-        for (String type : List.of("unsafe", "safe")) {
-            assertEquals(202, relay.submit(type, type, 7));
+        for (String requestClass : List.of("unsafe", "safe")) {
+            assertEquals(202, relay.submit(requestClass, requestClass, 7));
         }
         await(() -> countCalls("unsafe") == 1 && countCalls("safe") == 1);
         relay.terminate();
@@ -199,12 +199,12 @@
     @Test
     void requestSentWhileItsIdleConnectionTimesOutMeetsAnOrderlyEndAndIsServedWhenSentAgain() throws IOException {
         relay.start();
-        try (Socket rested = relay.connect()) {
-            assertEquals(200, RelayProcess.exchange(rested, READY_REQUEST).status());
-            assertEquals(-1, rested.getInputStream().read());
-            rested.getOutputStream().write(messageRequest("again", "safe", 7, 20_000, "hello").getBytes());
+        try (Socket idle = relay.connect()) {
+            assertEquals(200, RelayProcess.exchange(idle, READY_REQUEST).status());
+            assertEquals(-1, idle.getInputStream().read());
+            idle.getOutputStream().write(messageRequest("again", "safe", 7, 20_000, "hello").getBytes());
             // Fails with an exception if the relay has reset the connection.
-            rested.getOutputStream().write('x');
+            idle.getOutputStream().write('x');
             assertEquals(202, relay.submit("again", "safe", 7));
         }
         await(() -> countCalls("again") == 1);
--- a/src/test/java/drumdeal/relay/UnreadRequestTest.java
+++ b/src/test/java/drumdeal/relay/UnreadRequestTest.java
@@ -31,31 +31,31 @@
      * Submits a message that stays unread while the relay is paused, on a connection opened before the pause or during
      * it. Sets {@link #waitedMillis}.
      */
-    private RelayProcess.Response submitUnread(boolean known, long leastMs) throws IOException, InterruptedException {
+    private RelayProcess.Response submitUnread(boolean connectBeforePause, long minUnreadMillis) throws IOException, InterruptedException {
         String message = RelayProcess.messageRequest("id" + submissionCount++, "unsafe", 7, BUDGET_MILLIS, "hello");
-        Socket first = known ? relay.connect() : null;
-        if (known) {
-            RelayProcess.exchange(first, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+        Socket earlierSocket = connectBeforePause ? relay.connect() : null;
+        if (connectBeforePause) {
+            RelayProcess.exchange(earlierSocket, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
         }
         relay.pause();
-        try (Socket socket = known ? first : relay.connect()) {
+        try (Socket socket = connectBeforePause ? earlierSocket : relay.connect()) {
             socket.getOutputStream().write(message.getBytes(StandardCharsets.ISO_8859_1));
-            long written = System.nanoTime();
-            Thread.sleep(leastMs);
-            waitedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - written);
+            long writtenAtNanos = System.nanoTime();
+            Thread.sleep(minUnreadMillis);
+            waitedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - writtenAtNanos);
             relay.resume();
             return RelayProcess.exchange(socket, "");
         }
     }
 
-    private void assertBudgetIncludesUnreadTime(boolean known) throws IOException, InterruptedException {
+    private void assertBudgetIncludesUnreadTime(boolean connectBeforePause) throws IOException, InterruptedException {
         // On a busy machine a request may wait so long that the relay rejects it; then another one is submitted.
-        while (submitUnread(known, 150).status() != 202) {
+        while (submitUnread(connectBeforePause, 150).status() != 202) {
             assertTrue(submissionCount < 20, "every request was rejected");
         }
         await(() -> host.requests.size() == 1);
-        int budget = Integer.parseInt(host.requests.get(0).headers().get("x-budget-ms"));
-        assertTrue(budget <= BUDGET_MILLIS - waitedMillis, "unread for " + waitedMillis + " ms, budget in ms: " + budget);
+        int sentBudgetMillis = Integer.parseInt(host.requests.get(0).headers().get("x-budget-ms"));
+        assertTrue(sentBudgetMillis <= BUDGET_MILLIS - waitedMillis, "unread for " + waitedMillis + " ms, budget in ms: " + sentBudgetMillis);
     }
 
     @Test
@@ -70,9 +70,9 @@
 
     @Test
     void requestOlderThanItsClientWaitsIsRejected() throws IOException, InterruptedException {
-        RelayProcess.Response answer = submitUnread(true, 500);
-        assertEquals(503, answer.status());
-        assertTrue(answer.head().toLowerCase(Locale.ROOT).contains("retry-after"), answer.head());
+        RelayProcess.Response response = submitUnread(true, 500);
+        assertEquals(503, response.status());
+        assertTrue(response.head().toLowerCase(Locale.ROOT).contains("retry-after"), response.head());
         assertEquals(503, submitUnread(false, 500).status());
         assertEquals(0, host.requests.size());
     }
--- a/src/test/java/drumdeal/relay/UnresponsiveDiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/UnresponsiveDiscoveryTest.java
@@ -48,12 +48,12 @@
 
     private final Discovery.Agent agent = new Discovery.Agent() {
         @Override
-        public void request(HttpMethod method, String path, String body, long timeoutMs, AgentClient.ResponseHandler answer) {
-            calls.add(new Call(nowMillis, path, timeoutMs, answer));
+        public void request(HttpMethod method, String path, String body, long timeoutMillis, AgentClient.ResponseHandler callback) {
+            calls.add(new Call(nowMillis, path, timeoutMillis, callback));
         }
 
         @Override
-        public void moveTo(InetSocketAddress next) {
+        public void moveTo(InetSocketAddress address) {
             if (!calls.isEmpty()) {
                 lastCall().callback().handle(0, "");
             }
@@ -61,14 +61,14 @@
     };
 
     /** Creates a discovery client that knows version 1 of the list. */
-    private Discovery createDiscovery(long seed, int fleet, long graceMs) {
+    private Discovery createDiscovery(long seed, int fleetSize, long drainGraceMillis) {
         embeddedChannel.freezeTime();
-        return new Discovery(embeddedChannel.eventLoop(), agent, settings(seed, fleet, graceMs), 1, new Discovery.Listener() {
+        return new Discovery(embeddedChannel.eventLoop(), agent, settings(seed, fleetSize, drainGraceMillis), 1, new Discovery.Listener() {
             @Override
-            public void updateTargets(RouteListUpdateType kind, long version, List<Target> targets) { }
+            public void updateTargets(RouteListUpdateType type, long version, List<Target> targets) { }
 
             @Override
-            public void listStale(long in) { }
+            public void listStale(long dueInMicros) { }
         });
     }
 
@@ -78,7 +78,7 @@
 
     /** Advances the clock in steps of a millisecond and runs the tasks that fall due. */
     private void advanceMillis(long millis) {
-        for (long end = nowMillis + millis; nowMillis < end; nowMillis++) {
+        for (long endMillis = nowMillis + millis; nowMillis < endMillis; nowMillis++) {
             embeddedChannel.advanceTimeBy(1, TimeUnit.MILLISECONDS);
             embeddedChannel.runScheduledPendingTasks();
         }
@@ -86,17 +86,17 @@
 
     /** Advances the clock until another call is made, but not beyond 100 s. */
     private void advanceToNextCall() {
-        int before = calls.size();
-        while (calls.size() == before && nowMillis < 100_000) {
+        int callsBefore = calls.size();
+        while (calls.size() == callsBefore && nowMillis < 100_000) {
             advanceMillis(1);
         }
     }
 
     /** Lets the last call time out and advances the clock to the next one. */
     private void timeOutLastCall() {
-        Call silent = lastCall();
-        advanceMillis(silent.timeoutMillis());
-        silent.callback().handle(AgentClient.TIMED_OUT, "");
+        Call unanswered = lastCall();
+        advanceMillis(unanswered.timeoutMillis());
+        unanswered.callback().handle(AgentClient.TIMED_OUT, "");
         advanceToNextCall();
     }
 
@@ -106,16 +106,16 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 6, 25, 26, 120})
-    void timedOutCallIsRepeatedWellBeforeAChangeItMissedCountsAsDelivered(int fleet) {
+    void timedOutCallIsRepeatedWellBeforeAChangeItMissedCountsAsDelivered(int fleetSize) {
         for (long seed = 0; seed < 50; seed++) {
             calls.clear();
             nowMillis = 0;
-            createDiscovery(seed, fleet, 1000).start();
+            createDiscovery(seed, fleetSize, 1000).start();
             advanceToNextCall();
-            for (int times = 0; times < 2; times++) {
-                Call silent = lastCall();
+            for (int i = 0; i < 2; i++) {
+                Call unanswered = lastCall();
                 timeOutLastCall();
-                assertTrue(lastCall().startedAtMillis() + 1000 <= silent.deemedDeliveredAtMillis(), "called again at " + lastCall().startedAtMillis() + ", change counts as delivered at " + silent.deemedDeliveredAtMillis());
+                assertTrue(lastCall().startedAtMillis() + 1000 <= unanswered.deemedDeliveredAtMillis(), "called again at " + lastCall().startedAtMillis() + ", change counts as delivered at " + unanswered.deemedDeliveredAtMillis());
                 lastCall().callback().handle(200, emptyListUpdate(calls.size()));
                 advanceToNextCall();
             }
@@ -127,18 +127,18 @@
         Discovery discovery = createDiscovery(3, 6, 1000);
         discovery.start();
         advanceToNextCall();
-        long moved = nowMillis;
+        long movedAtMillis = nowMillis;
         discovery.moveTo(null, settings(3, 6, 1000));
         advanceToNextCall();
         timeOutLastCall();
-        assertTrue(lastCall().startedAtMillis() - moved < 4000, "called again after ms: " + (lastCall().startedAtMillis() - moved));
+        assertTrue(lastCall().startedAtMillis() - movedAtMillis < 4000, "called again after ms: " + (lastCall().startedAtMillis() - movedAtMillis));
     }
 
-    private static Policy.Settings settings(long seed, int fleet, long graceMs) {
-        return new Policy.Settings(seed, 0, fleet, "z", List.of(new Policy.RequestClass("any", Policy.Idempotency.ONCE,
+    private static Policy.Settings settings(long seed, int fleetSize, long drainGraceMillis) {
+        return new Policy.Settings(seed, 0, fleetSize, "z", List.of(new Policy.RequestClass("any", Policy.Idempotency.ONCE,
                 Policy.KeyScope.ALL, 0, 1, 2, 1, 0, false)), List.of(), List.of(), List.of(),
                 new Policy.Limits(1, 1, 1, true, false, false, false, true, 1),
-                new Policy.ServiceRules(0, graceMs * 1000, 2, 1, 0.2, 1, 10_000_000, 0), 1, false, true, Policy.RateHint.NONE, 0);
+                new Policy.ServiceRules(0, drainGraceMillis * 1000, 2, 1, 0.2, 1, 10_000_000, 0), 1, false, true, Policy.RateHint.NONE, 0);
     }
 
     /** How calls end while discovery is unavailable. */
@@ -153,27 +153,27 @@
     }
 
     private static Stream<Arguments> outages() {
-        return Stream.of(Failure.values()).flatMap(failure -> Stream.of(1, 25, 120).flatMap(fleet ->
-                Stream.of(100L, 8_000L, 60_000L).map(gone -> Arguments.of(failure, fleet, gone))));
+        return Stream.of(Failure.values()).flatMap(failure -> Stream.of(1, 25, 120).flatMap(fleetSize ->
+                Stream.of(100L, 8_000L, 60_000L).map(outageMillis -> Arguments.of(failure, fleetSize, outageMillis))));
     }
 
     /** Relays of small fleets watch for changes, those of large fleets fetch the list; the sizes cover both. */
     @ParameterizedTest
     @MethodSource("outages")
-    void listIsReceivedWithinSixSecondsAfterAnOutage(Failure failure, int fleet, long gone) {
+    void listIsReceivedWithinSixSecondsAfterAnOutage(Failure failure, int fleetSize, long outageMillis) {
         for (long seed = 0; seed < SEED_COUNT; seed++) {
             calls.clear();
             nowMillis = 0;
-            createDiscovery(seed, fleet, 1000).start();
+            createDiscovery(seed, fleetSize, 1000).start();
             advanceToNextCall();
-            long back = nowMillis + gone;
-            while (nowMillis < back) {
-                Call failing = lastCall();
-                advanceMillis(failure == Failure.TIMED_OUT ? failing.timeoutMillis() : 1);
-                failing.callback().handle(failure.status, "");
+            long outageEndMillis = nowMillis + outageMillis;
+            while (nowMillis < outageEndMillis) {
+                Call failedCall = lastCall();
+                advanceMillis(failure == Failure.TIMED_OUT ? failedCall.timeoutMillis() : 1);
+                failedCall.callback().handle(failure.status, "");
                 advanceToNextCall();
             }
-            assertTrue(lastCall().startedAtMillis() + RESPONSE_TIME_MILLIS <= back + DEEMED_DELIVERED_MILLIS, "outage ended at " + back + ", called again at " + lastCall().startedAtMillis());
+            assertTrue(lastCall().startedAtMillis() + RESPONSE_TIME_MILLIS <= outageEndMillis + DEEMED_DELIVERED_MILLIS, "outage ended at " + outageEndMillis + ", called again at " + lastCall().startedAtMillis());
         }
     }
 
@@ -182,10 +182,10 @@
         createDiscovery(5, 6, 1000).start();
         advanceToNextCall();
         List<Long> pauses = new ArrayList<>();
-        for (int times = 0; times < 5; times++) {
-            Call silent = lastCall();
+        for (int i = 0; i < 5; i++) {
+            Call unanswered = lastCall();
             timeOutLastCall();
-            pauses.add(lastCall().startedAtMillis() - silent.startedAtMillis() - silent.timeoutMillis());
+            pauses.add(lastCall().startedAtMillis() - unanswered.startedAtMillis() - unanswered.timeoutMillis());
         }
         assertTrue(pauses.get(4) >= 1600, "pauses in ms: " + pauses);
         assertTrue(pauses.get(4) <= 4800, "pauses in ms: " + pauses);
@@ -197,16 +197,16 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {250, 400, 1000})
-    void nextCallAfterAListUpdateIsMadeWithinTheDrainGrace(int grace) {
+    void nextCallAfterAListUpdateIsMadeWithinTheDrainGrace(int drainGraceMillis) {
         for (long seed = 0; seed < 50; seed++) {
             calls.clear();
             nowMillis = 0;
-            createDiscovery(seed, 3, grace).start();
+            createDiscovery(seed, 3, drainGraceMillis).start();
             advanceToNextCall();
             lastCall().callback().handle(200, emptyListUpdate(7));
-            long told = nowMillis;
+            long updatedAtMillis = nowMillis;
             advanceToNextCall();
-            assertTrue(lastCall().startedAtMillis() - told < grace, "called again after ms: " + (lastCall().startedAtMillis() - told));
+            assertTrue(lastCall().startedAtMillis() - updatedAtMillis < drainGraceMillis, "called again after ms: " + (lastCall().startedAtMillis() - updatedAtMillis));
         }
     }
 }
