--- a/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
+++ b/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
@@ -53,8 +53,8 @@
     void truncatedResponseIsRequestedAgainAndAnIndentedOneIsParsed() throws IOException {
         AtomicInteger watches = new AtomicInteger();
         String listUpdate = respondWith(200, RelayProcess.targetListJson(2, false,
-                RelayProcess.targetJson("h1", 7, "one", "terminating", host.address())).replace("{", "{\n  ").replace(",", " ,\n  ")
-                .replace(":", ": ").replace("127.0.0.1: ", "127.0.0.1:"));
+                RelayProcess.targetJson("h1", 7, "one", "terminating", host.address()))
+                .replace("{", "{\n  ").replace(",", " ,\n  ").replace(":", ": ").replace("127.0.0.1: ", "127.0.0.1:"));
         discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204)
                 : switch (watches.incrementAndGet()) {
                     case 1 -> sendTruncated(listUpdate);
--- a/src/test/java/drumdeal/relay/BadClientTest.java
+++ b/src/test/java/drumdeal/relay/BadClientTest.java
@@ -101,13 +101,15 @@
     @Test
     void clientThatStopsInTheMiddleOfARequestGetsStatus408AndIsDisconnected() throws IOException {
         relay.start();
-        for (String partialRequest : List.of("POST /api HT", RelayProcess.messageRequest("h1", "safe", 7, 1000, "hello").replace("hello", "h"))) {
+        for (String partialRequest : List.of("POST /api HT",
+                RelayProcess.messageRequest("h1", "safe", 7, 1000, "hello").replace("hello", "h"))) {
             Socket socket = connect();
             assertEquals(408, RelayProcess.exchange(socket, partialRequest).status());
             assertEquals(-1, readByte(socket));
         }
         Socket socket = connect();
-        assertEquals(202, RelayProcess.exchange(socket, RelayProcess.messageRequest("w1", "safe", 7, 20_000, "x")).status());
+        assertEquals(202,
+                RelayProcess.exchange(socket, RelayProcess.messageRequest("w1", "safe", 7, 20_000, "x")).status());
         assertEquals(408, RelayProcess.exchange(socket, "POST").status(), "a later request times out too");
     }
 
@@ -129,15 +131,19 @@
     @Test
     void requestWithAmbiguousOrInvalidLengthIsRejected() throws IOException {
         relay.start();
-        String validRequest = RelayProcess.messageRequest("d1", "safe", 7, 1000, "0\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n");
+        String validRequest = RelayProcess.messageRequest("d1", "safe", 7, 1000,
+                "0\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n");
         String lengthHeader = "Content-Length: 30\r\n";
         assertTrue(validRequest.contains(lengthHeader), validRequest);
-        for (String lengthHeaders : List.of(lengthHeader + "Transfer-Encoding: chunked\r\n", lengthHeader + lengthHeader,
+        for (String lengthHeaders : List.of(
+                lengthHeader + "Transfer-Encoding: chunked\r\n", lengthHeader + lengthHeader,
                 "Transfer-Encoding: chunked\r\n" + lengthHeader, "Content-Length: -5\r\n", "Content-Length: 0x5\r\n",
                 lengthHeader + "Content-Length: 5\r\n", lengthHeader + "Transfer-Encoding: xchunked\r\n",
                 "Transfer-Encoding: identity\r\n", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n")) {
             Socket socket = connect();
-            assertEquals(400, RelayProcess.exchange(socket, validRequest.replace(lengthHeader, lengthHeaders)).status(), lengthHeaders);
+            assertEquals(400,
+                    RelayProcess.exchange(socket, validRequest.replace(lengthHeader, lengthHeaders)).status(),
+                    lengthHeaders);
             assertEquals(-1, readByte(socket), lengthHeaders);
         }
         assertEquals(505, RelayProcess.exchange(connect(), validRequest.replace("HTTP/1.1", "HTTP/1.0")).status());
--- a/src/test/java/drumdeal/relay/ClientRequestTest.java
+++ b/src/test/java/drumdeal/relay/ClientRequestTest.java
@@ -13,8 +13,8 @@
     /** The deadline, in microseconds, of a request that arrived at {@code arrivedAt} with a budget in milliseconds. */
     private static long deadline(long arrivedAt, String budgetMillis) {
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api");
-        head.headers().set(ClientServer.CALL_ID_HEADER, "m1").set("X-Call-Class", "safe").set(ClientServer.BUDGET_HEADER, budgetMillis)
-                .set("X-Consignee", "dest=7");
+        head.headers().set(ClientServer.CALL_ID_HEADER, "m1").set("X-Call-Class", "safe")
+                .set(ClientServer.BUDGET_HEADER, budgetMillis).set("X-Consignee", "dest=7");
         ClientRequest request = new ClientRequest(head);
         request.setEarliestArrival(arrivedAt);
         return request.parseContent().deadline();
--- a/src/test/java/drumdeal/relay/DeliveryTest.java
+++ b/src/test/java/drumdeal/relay/DeliveryTest.java
@@ -60,7 +60,8 @@
 
     @Test
     void unsafeMessageRefusedWithStatus503IsRetried() throws IOException {
-        host.respondWith(request -> host.countRequests("POST /receive") == 1 ? respondWithStatus(503) : respondWithStatus(200));
+        host.respondWith(request ->
+                host.countRequests("POST /receive") == 1 ? respondWithStatus(503) : respondWithStatus(200));
         assertEquals(202, relay.start().submit("u2", "unsafe", 7));
         await(() -> host.countRequests("POST /receive") == 2);
         assertEquals("u2", host.requests.get(1).callId());
@@ -94,7 +95,8 @@
 
     @Test
     void retryDelayRequestedByTheHostIsObeyed() throws IOException {
-        host.respondWith(request -> host.requests.size() == 1 ? respondWithStatus(429, "X-Come-Back-Ms: 1200") : respondWithStatus(200));
+        host.respondWith(request -> host.requests.size() == 1 ? respondWithStatus(429, "X-Come-Back-Ms: 1200")
+                : respondWithStatus(200));
         relay.start().submit("w1", "safe", 7);
         await(() -> host.requests.size() == 1);
         relay.submit("w2", "safe", 7);
@@ -122,8 +124,8 @@
 
     @Test
     void batchResponseAfterTheEarliestDeadlineDeliversNoMessage() throws IOException {
-        // As above, the refusal puts both messages into one call. The host responds to it only once the first message
-        // has reached its deadline, and then claims to have delivered both.
+        // The host refuses the first call, so that both messages are sent in the next one. It responds to that one only
+        // once the first message has reached its deadline, and then claims to have delivered both.
         host.respondWith(request -> {
             if (!request.requestLine().contains("many")) {
                 return respondWithStatus(503, "X-Come-Back-Ms: 500");
@@ -142,7 +144,8 @@
 
     @Test
     void idleConnectionsAreClosedAfterAnotherOneBreaks() throws IOException {
-        host.respondWith(request -> request.callId().startsWith("slow") ? StubPeer.NO_RESPONSE : respondWithStatus(200));
+        host.respondWith(request ->
+                request.callId().startsWith("slow") ? StubPeer.NO_RESPONSE : respondWithStatus(200));
         relay.start();
         relay.submit("slow", "safe", 7);
         await(() -> host.requests.size() == 1);
@@ -200,14 +203,15 @@
     @Test
     void messageOfAClientThatDisconnectsBeforeItsResponseIsNotDelivered() throws IOException {
         relay.roundPeriodSeconds("0.5").start();
-        // On a busy machine a whole round may pass between the request and the disconnect. The message is then delivered
-        // rightly, and the test tries again.
+        // On a busy machine a whole round period may pass between the request and the disconnect. The relay then
+        // delivers the message rightly, and the test tries again.
         boolean withdrawn = false;
         for (int i = 0; i < MAX_TRIES && !withdrawn; i++) {
             String leavingId = "left" + i;
             String stayingId = "stayed" + i;
             try (Socket socket = relay.connect()) {
-                socket.getOutputStream().write(RelayProcess.messageRequest(leavingId, "safe", 7, 20_000, "hello").getBytes());
+                socket.getOutputStream().write(
+                        RelayProcess.messageRequest(leavingId, "safe", 7, 20_000, "hello").getBytes());
             }
             assertEquals(202, relay.submit(stayingId, "safe", 7));
             await(() -> host.hasReceived(stayingId) && relay.readOpenMessages().isEmpty());
@@ -264,7 +268,8 @@
         assertEquals(202, relay.submit("r1", "safe", 7));
         await(() -> host.requests.size() == 1);
         Thread.sleep(400);
-        host.respondWith(request -> host.countRequests("POST") == 2 ? StubPeer.CLOSE_CONNECTION : respondWithStatus(200));
+        host.respondWith(request ->
+                host.countRequests("POST") == 2 ? StubPeer.CLOSE_CONNECTION : respondWithStatus(200));
         assertEquals(202, relay.submit("r2", "safe", 7));
         await(() -> host.requests.size() == 3);
         assertEquals(2, host.connections.size(), "the idle connection breaks and the retry uses a new one");
@@ -288,16 +293,17 @@
     }
 
     /**
-     * Makes the host refuse the first call with status 503 and close its connection, as a host does that accepts no more
-     * connections. Later calls get their response from the function.
+     * Makes the host answer the first call with status 503 and close its connection, as a host at its connection limit
+     * does. The function answers later calls.
      */
     private void simulateScarceConnections(Function<StubPeer.Request, String> laterResponses) {
-        host.respondWith(request -> host.countRequests("POST") == 1 ? StubPeer.respondWithStatus(503, "Connection: close")
-                : laterResponses.apply(request));
+        host.respondWith(request -> host.countRequests("POST") == 1
+                ? StubPeer.respondWithStatus(503, "Connection: close") : laterResponses.apply(request));
     }
 
     @Test
-    void atTheConnectionLimitIdleConnectionsAreClosedAndCallsWaitForOpenOnes() throws IOException, InterruptedException {
+    void atTheConnectionLimitIdleConnectionsAreClosedAndCallsWaitForOpenOnes()
+            throws IOException, InterruptedException {
         CountDownLatch mayRespondToB = new CountDownLatch(1);
         simulateScarceConnections(request -> {
             if ("b".equals(request.callId())) {
@@ -327,8 +333,7 @@
             await(() -> otherHost.hasReceived("kept"));
             assertEquals(202, relay.submit("a", "safe", 7));
             await(() -> host.requests.size() == 2);
-            // The calls follow each other so fast that one connection, kept for the idle time in the settings, would
-            // carry them all.
+            // The calls come so often that a connection kept for the idle time in the settings would carry them all.
             for (int i = 0; i < 50 && otherHost.connections.size() < 3; i++) {
                 assertEquals(202, relay.submit("b" + i, "safe", 9));
                 Thread.sleep(100);
--- a/src/test/java/drumdeal/relay/DiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/DiscoveryTest.java
@@ -20,14 +20,16 @@
 
     /** Makes discovery acknowledge notices and give the same response to every other request. */
     private void answerWatches(String response) {
-        discovery.respondWith(request -> request.requestLine().startsWith("POST /status") ? StubPeer.respondWithStatus(204) : response);
+        discovery.respondWith(request -> request.requestLine().startsWith("POST /status")
+                ? StubPeer.respondWithStatus(204) : response);
     }
 
     @Test
     void watchContinuesFromTheVersionKnownAtTheStart() throws IOException {
         relay.start();
         await(() -> discovery.countRequests("GET /api/targets?after=1&") == 1);
-        assertEquals(0, discovery.countRequests("GET /api/targets "), "the whole list is not fetched, as discovery serves all relays");
+        assertEquals(0, discovery.countRequests("GET /api/targets "),
+                "the whole list is not fetched, as discovery serves all relays");
     }
 
     @Test
@@ -64,7 +66,8 @@
 
     /** Makes discovery answer every request for the list with version 2. */
     private void publishNewList() {
-        answerWatches(StubPeer.respondWith(200, targetListJson(2, true, targetJson("h1", 7, "one", "in_service", host.address()))));
+        answerWatches(StubPeer.respondWith(200,
+                targetListJson(2, true, targetJson("h1", 7, "one", "in_service", host.address()))));
     }
 
     @Test
@@ -75,7 +78,8 @@
             await(() -> discovery.countRequests("GET /api/targets ") == 2);
             long pauseNanos = discovery.requests.get(1).receivedAtNanos() - discovery.requests.get(0).receivedAtNanos();
             assertTrue(pauseNanos >= TimeUnit.SECONDS.toNanos(2), "ns between the fetches: " + pauseNanos);
-            assertEquals(0, discovery.countRequests("GET /api/targets?"), "no watch: a change after its response would count as delivered");
+            assertEquals(0, discovery.countRequests("GET /api/targets?"),
+                    "no watch: a change after its response would count as delivered");
             assertEquals(1, fleetRelay.log().split("discovery: version 2", -1).length - 1, fleetRelay.log());
         }
     }
@@ -95,7 +99,8 @@
         try (StubPeer newDiscovery = StubPeer.always(StubPeer.respondWithStatus(503))) {
             relay.moveDiscovery(newDiscovery);
             await(() -> newDiscovery.countRequests("GET /api/targets ") == 9);
-            long tookNanos = newDiscovery.requests.get(8).receivedAtNanos() - newDiscovery.requests.get(0).receivedAtNanos();
+            long tookNanos = newDiscovery.requests.get(8).receivedAtNanos()
+                    - newDiscovery.requests.get(0).receivedAtNanos();
             // Pauses that double up to 3.2 s and vary by half either way would take at least 9.4 s.
             assertTrue(tookNanos < TimeUnit.MILLISECONDS.toNanos(9300), "ns for nine calls: " + tookNanos);
             assertTrue(tookNanos > TimeUnit.MILLISECONDS.toNanos(3000), "ns for nine calls: " + tookNanos);
--- a/src/test/java/drumdeal/relay/IdleClientsTest.java
+++ b/src/test/java/drumdeal/relay/IdleClientsTest.java
@@ -27,7 +27,8 @@
 
     @BeforeEach
     void prepare() throws IOException {
-        prepare(new StubPeer(this::respondAsDiscovery), new StubPeer(request -> respondWithStatus("fails".equals(request.callId()) ? 500 : 200)));
+        prepare(new StubPeer(this::respondAsDiscovery),
+                new StubPeer(request -> respondWithStatus("fails".equals(request.callId()) ? 500 : 200)));
         relay.descriptorLimit(DESCRIPTOR_LIMIT);
     }
 
@@ -44,7 +45,8 @@
         }
         String knownTarget = targetJson("h1", 7, "one", "in_service", host.address());
         String addedTarget = targetJson("h2", 9, "one", "in_service", host.address());
-        return isDiscoveryRestored ? respondWith(200, targetListJson(2, true, knownTarget, addedTarget)) : respondWithStatus(503);
+        return isDiscoveryRestored ? respondWith(200, targetListJson(2, true, knownTarget, addedTarget))
+                : respondWithStatus(503);
     }
 
     @Test
@@ -62,6 +64,7 @@
         await(() -> relay.log().contains("discovery: version 2"));
         assertEquals(202, relay.submit("new", "safe", 9));
         await(() -> host.hasReceived("new"));
-        assertTrue(relay.countOpenDescriptors() <= DESCRIPTOR_LIMIT, "open descriptors: " + relay.countOpenDescriptors());
+        assertTrue(relay.countOpenDescriptors() <= DESCRIPTOR_LIMIT,
+                "open descriptors: " + relay.countOpenDescriptors());
     }
 }
--- a/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
+++ b/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
@@ -31,7 +31,8 @@
  * tasks on the event loop, so the loop reads nothing from the connections between the steps of one task.
  */
 class IdleHostConnectionTest implements HostClient.ResultListener {
-    private final MultiThreadIoEventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup eventLoopGroup =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop eventLoop = (EventLoop) eventLoopGroup.next();
     private final Clock clock = new Clock();
     private final List<Result> ended = new CopyOnWriteArrayList<>();
@@ -41,15 +42,15 @@
     @BeforeEach
     void start() throws Exception {
         host = StubPeer.always(respondWithStatus(200));
-        Policy.RequestClass requestClass = new Policy.RequestClass("once", Policy.Idempotency.ONCE, Policy.KeyScope.ALL, 0, 1, 20_000_000,
-                1, 0, false);
+        Policy.RequestClass requestClass = new Policy.RequestClass("once", Policy.Idempotency.ONCE,
+                Policy.KeyScope.ALL, 0, 1, 20_000_000, 1, 0, false);
         Policy.Settings settings = new Policy.Settings(1, 0, 1, "z", List.of(requestClass), List.of(),
                 List.of(new Policy.DestinationKind("one", false, 1)), List.of(),
                 new Policy.Limits(8, 8, 8, true, false, false, false, true, 1_000_000),
                 new Policy.ServiceRules(0, 1, 2, 1, 0.2, 1, 1, 0), 1, false, true, Policy.RateHint.NONE, 0);
         InetSocketAddress unusedAddress = Config.parseAddress("127.0.0.1:1");
-        Config config = new Config(unusedAddress, null, unusedAddress, null, 256, 1 << 20, settings, 5000, 100_000_000, false, -1, List.of(),
-                Map.of());
+        Config config = new Config(unusedAddress, null, unusedAddress, null, 256, 1 << 20, settings, 5000, 100_000_000,
+                false, -1, List.of(), Map.of());
         Target target = new Target(new Policy.ListedRoute("h", 7, "one", "z", Policy.Availability.LISTED, 0),
                 Config.parseAddress(host.address()));
         eventLoop.submit(() -> {
@@ -67,7 +68,8 @@
     /** Sends a message to the host in a call of its own; must run on the event loop. */
     private Message.Attempt send(String id) {
         long now = clock.micros();
-        Message message = new Message(1, new Message.Content(id, "once", null, null, now + 20_000_000, 7, new byte[5]), null);
+        Message message = new Message(1,
+                new Message.Content(id, "once", null, null, now + 20_000_000, 7, new byte[5]), null);
         Message.Attempt attempt = message.addAttempt("h", now);
         client.send("h", List.of(new HostClient.OutgoingAttempt(attempt, 10_000_000, Long.MAX_VALUE)));
         return attempt;
@@ -213,7 +215,8 @@
     }
 
     @Override
-    public void attemptEnded(Message.Attempt attempt, Result result, boolean messageFinished, long retryAfter, LimitReport limitReport) {
+    public void attemptEnded(Message.Attempt attempt, Result result, boolean messageFinished, long retryAfter,
+            LimitReport limitReport) {
         ended.add(result);
     }
 
--- a/src/test/java/drumdeal/relay/InputValidationTest.java
+++ b/src/test/java/drumdeal/relay/InputValidationTest.java
@@ -32,7 +32,8 @@
             return respondWithStatus(204);
         }
         String listUpdate = nextListUpdate.getAndSet(null);
-        return listUpdate != null ? respondWith(200, listUpdate) : request.requestLine().contains("after=") ? StubPeer.NO_RESPONSE
+        return listUpdate != null ? respondWith(200, listUpdate)
+                : request.requestLine().contains("after=") ? StubPeer.NO_RESPONSE
                 : respondWith(200, targetListJson(1, true, targetJson("h1", 7, "one", "in_service", host.address())));
     }
 
@@ -63,7 +64,8 @@
     void connectionServesOneRequestAfterAnother() throws IOException {
         relay.start();
         try (Socket socket = relay.connect()) {
-            assertEquals(400, RelayProcess.exchange(socket, RelayProcess.messageRequest("o1", "no", 7, 9, "x")).status());
+            assertEquals(400,
+                    RelayProcess.exchange(socket, RelayProcess.messageRequest("o1", "no", 7, 9, "x")).status());
             String twoRequests = RelayProcess.messageRequest("o2", "safe", 7, 20_000, "x")
                     + RelayProcess.messageRequest("o3", "safe", 7, 20_000, "x");
             assertEquals(202, RelayProcess.exchange(socket, twoRequests).status());
@@ -116,7 +118,8 @@
         await(() -> discovery.requests.stream().anyMatch(r -> r.requestLine().contains("after=1&")));
         nextListUpdate.set("{\"rev\":[");
         await(() -> relay.log().contains("an answer is passed over"));
-        nextListUpdate.set(targetListJson(5, true, "{\"uid\":4}", "7", targetJson("h1", 7, "one", "asleep", host.address()),
+        nextListUpdate.set(targetListJson(5, true, "{\"uid\":4}", "7",
+                targetJson("h1", 7, "one", "asleep", host.address()),
                 targetJson("h1", 7, "one", "in_service", host.address()),
                 targetJson("h9", 9, "one", "in_service", "nosuch.example:1")));
         await(() -> discovery.requests.stream().anyMatch(r -> r.requestLine().contains("after=5&")));
--- a/src/test/java/drumdeal/relay/MalformedResponseTest.java
+++ b/src/test/java/drumdeal/relay/MalformedResponseTest.java
@@ -25,7 +25,8 @@
 
     @Test
     void unsafeMessageEndsAsDeadAfterAMalformedResponse() throws IOException {
-        List<String> malformedResponses = List.of("HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\n", "HTTP/1.1 410 X\r\n" + OVERSIZED_BODY,
+        List<String> malformedResponses = List.of(
+                "HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\n", "HTTP/1.1 410 X\r\n" + OVERSIZED_BODY,
                 "HTTP/1.1 429 X\r\nX-Come-Back-Ms: 60000\r\nContent-Length: -1\r\n\r\n",
                 "HTTP/1.1 504 X\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                 "HTTP/1.1 404 X\r\nEndless: " + "x".repeat(20_000), "HTTP/1.1 101 X\r\n\r\n", "HTTP/1.1 ", "noise");
@@ -46,7 +47,8 @@
 
     @Test
     void statusLine200DeliversASingleMessageWhateverFollows() throws IOException {
-        List<String> malformedResponses = List.of("HTTP/1.1 200 X\r\nEndless: " + "x".repeat(20_000), "HTTP/1.1 200 X\r\n" + OVERSIZED_BODY,
+        List<String> malformedResponses = List.of(
+                "HTTP/1.1 200 X\r\nEndless: " + "x".repeat(20_000), "HTTP/1.1 200 X\r\n" + OVERSIZED_BODY,
                 "HTTP/1.1 200 X\r\nbad\u0000head\r\nContent-Length: 0\r\n\r\n",
                 "HTTP/1.1 200 X\r\nContent-Length: 1, 2\r\n\r\n", "HTTP/1.1 200 X\r\nHalf",
                 "HTTP/1.1 100 X\r\n\r\nHTTP/1.1 200 X\r\nContent-Length: 7\r\n\r\n");
@@ -88,12 +90,14 @@
     @Test
     void bytesAfterAResponseAreNotTakenForTheNextResponse() throws IOException {
         relay.start();
-        for (String extraBytes : List.of(respondWithStatus(200), "\u0001\u0002" + respondWithStatus(200), "noise\r\n\r\n" + respondWithStatus(200))) {
+        for (String extraBytes : List.of(respondWithStatus(200), "\u0001\u0002" + respondWithStatus(200),
+                "noise\r\n\r\n" + respondWithStatus(200))) {
             host.respondWith(request -> respondWithStatus(200) + extraBytes);
             long requestsBefore = host.countRequests("POST");
             relay.submit("first" + requestsBefore, "unsafe", 7);
             await(() -> host.countRequests("POST") > requestsBefore && relay.readOpenMessages().isEmpty());
-            host.respondWith(request -> request.requestLine().startsWith("POST") ? StubPeer.CLOSE_CONNECTION : respondWithStatus(200));
+            host.respondWith(request -> request.requestLine().startsWith("POST")
+                    ? StubPeer.CLOSE_CONNECTION : respondWithStatus(200));
             relay.submit("next" + requestsBefore, "unsafe", 7);
             await(() -> relay.hasSentNotice("next" + requestsBefore, "dead"));
         }
--- a/src/test/java/drumdeal/relay/RaceConditionTest.java
+++ b/src/test/java/drumdeal/relay/RaceConditionTest.java
@@ -33,8 +33,9 @@
     void endSignalBeforeTheRelayListensAbortsItsStart() throws IOException, InterruptedException {
         Files.createDirectories(relay.stateFolder());
         // Stands for another process of this relay that accepts no connection: the start waits for it.
-        try (FileChannel lockFile = FileChannel.open(relay.stateFolder().resolve("owner.lock"), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE); FileLock lock = lockFile.lock();
+        try (FileChannel lockFile = FileChannel.open(relay.stateFolder().resolve("owner.lock"),
+                StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                FileLock lock = lockFile.lock();
                 ServerSocketChannel handoverSocket = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             assertTrue(lock.isValid());
             handoverSocket.bind(Handover.socketAddress(relay.stateFolder()));
@@ -55,7 +56,7 @@
             incomplete.getOutputStream().write(message.substring(0, message.length() - 1).getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
-            // The last byte never arrives. Either the timeout of the request (408) or the end of the stop (503) rejects it.
+            // The last byte never arrives. The request is rejected by its own timeout (408) or by the stop (503).
             RelayProcess.Response response = RelayProcess.exchange(incomplete, "");
             assertTrue(response.status() == 503 || response.status() == 408, response.head());
         }
@@ -117,8 +118,8 @@
     void uploadThatOutlastsAGracefulStopIsRejectedAndNotJournaled() throws IOException, InterruptedException {
         relay.start();
         try (Socket upload = relay.connect()) {
-            upload.getOutputStream().write(messageRequest("upload", "safe", 7, 20_000, "x".repeat(60_000)).substring(0, 1000)
-                    .getBytes());
+            upload.getOutputStream().write(messageRequest("upload", "safe", 7, 20_000, "x".repeat(60_000))
+                    .substring(0, 1000).getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
             while (upload.getInputStream().available() == 0) {
@@ -140,7 +141,8 @@
         host.respondWith(request -> respondWithStatus(429, "X-Come-Back-Ms: 6000"));
         relay.start();
         assertEquals(202, relay.submit("held", "unsafe", 7));
-        await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream()).anyMatch(a -> a.result != null));
+        await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream())
+                .anyMatch(a -> a.result != null));
         try (StubPeer newDiscovery = RelayProcess.discoveryWithoutChanges()) {
             relay.moveDiscovery(newDiscovery);
             relay.terminate();
@@ -186,7 +188,8 @@
         await(() -> countCalls("late") == 1);
         relay.kill();
         relay.start();
-        await(() -> relay.hasSentNotice("unsafe", "dead") && relay.hasSentNotice("late", "dead") && countCalls("safe") == 2);
+        await(() -> relay.hasSentNotice("unsafe", "dead") && relay.hasSentNotice("late", "dead")
+                && countCalls("safe") == 2);
         relay.kill();
         host.respondWith(request -> respondWithStatus(200));
         relay.start();
--- a/src/test/java/drumdeal/relay/UnreadRequestTest.java
+++ b/src/test/java/drumdeal/relay/UnreadRequestTest.java
@@ -31,7 +31,8 @@
      * Submits a message that stays unread while the relay is paused, on a connection opened before the pause or during
      * it. Sets {@link #waitedMillis}.
      */
-    private RelayProcess.Response submitUnread(boolean connectBeforePause, long minUnreadMillis) throws IOException, InterruptedException {
+    private RelayProcess.Response submitUnread(boolean connectBeforePause, long minUnreadMillis)
+            throws IOException, InterruptedException {
         String message = RelayProcess.messageRequest("id" + submissionCount++, "unsafe", 7, BUDGET_MILLIS, "hello");
         Socket earlierSocket = connectBeforePause ? relay.connect() : null;
         if (connectBeforePause) {
@@ -55,7 +56,8 @@
         }
         await(() -> host.requests.size() == 1);
         int sentBudgetMillis = Integer.parseInt(host.requests.get(0).headers().get("x-budget-ms"));
-        assertTrue(sentBudgetMillis <= BUDGET_MILLIS - waitedMillis, "unread for " + waitedMillis + " ms, budget in ms: " + sentBudgetMillis);
+        assertTrue(sentBudgetMillis <= BUDGET_MILLIS - waitedMillis,
+                "unread for " + waitedMillis + " ms, budget in ms: " + sentBudgetMillis);
     }
 
     @Test
--- a/src/test/java/drumdeal/relay/UnresponsiveDiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/UnresponsiveDiscoveryTest.java
@@ -38,7 +38,10 @@
         /** When a change that this call misses counts as delivered. */
         long deemedDeliveredAtMillis() {
             Matcher wait = WAIT_PARAMETER.matcher(path);
-            return startedAtMillis + (wait.find() ? Math.max(DEEMED_DELIVERED_MILLIS, Long.parseLong(wait.group(1)) + DEEMED_DELIVERED_AFTER_WAIT_MILLIS) : DEEMED_DELIVERED_MILLIS);
+            return startedAtMillis + (wait.find()
+                    ? Math.max(DEEMED_DELIVERED_MILLIS,
+                            Long.parseLong(wait.group(1)) + DEEMED_DELIVERED_AFTER_WAIT_MILLIS)
+                    : DEEMED_DELIVERED_MILLIS);
         }
     }
 
@@ -48,7 +51,8 @@
 
     private final Discovery.Agent agent = new Discovery.Agent() {
         @Override
-        public void request(HttpMethod method, String path, String body, long timeoutMillis, AgentClient.ResponseHandler callback) {
+        public void request(HttpMethod method, String path, String body, long timeoutMillis,
+                AgentClient.ResponseHandler callback) {
             calls.add(new Call(nowMillis, path, timeoutMillis, callback));
         }
 
@@ -63,13 +67,14 @@
     /** Creates a discovery client that knows version 1 of the list. */
     private Discovery createDiscovery(long seed, int fleetSize, long drainGraceMillis) {
         embeddedChannel.freezeTime();
-        return new Discovery(embeddedChannel.eventLoop(), agent, settings(seed, fleetSize, drainGraceMillis), 1, new Discovery.Listener() {
-            @Override
-            public void updateTargets(RouteListUpdateType type, long version, List<Target> targets) { }
-
-            @Override
-            public void listStale(long dueInMicros) { }
-        });
+        return new Discovery(embeddedChannel.eventLoop(), agent, settings(seed, fleetSize, drainGraceMillis), 1,
+                new Discovery.Listener() {
+                    @Override
+                    public void updateTargets(RouteListUpdateType type, long version, List<Target> targets) { }
+
+                    @Override
+                    public void listStale(long dueInMicros) { }
+                });
     }
 
     private Call lastCall() {
@@ -115,7 +120,9 @@
             for (int i = 0; i < 2; i++) {
                 Call unanswered = lastCall();
                 timeOutLastCall();
-                assertTrue(lastCall().startedAtMillis() + 1000 <= unanswered.deemedDeliveredAtMillis(), "called again at " + lastCall().startedAtMillis() + ", change counts as delivered at " + unanswered.deemedDeliveredAtMillis());
+                assertTrue(lastCall().startedAtMillis() + 1000 <= unanswered.deemedDeliveredAtMillis(),
+                        "called again at " + lastCall().startedAtMillis() + ", change counts as delivered at "
+                        + unanswered.deemedDeliveredAtMillis());
                 lastCall().callback().handle(200, emptyListUpdate(calls.size()));
                 advanceToNextCall();
             }
@@ -131,14 +138,17 @@
         discovery.moveTo(null, settings(3, 6, 1000));
         advanceToNextCall();
         timeOutLastCall();
-        assertTrue(lastCall().startedAtMillis() - movedAtMillis < 4000, "called again after ms: " + (lastCall().startedAtMillis() - movedAtMillis));
+        assertTrue(lastCall().startedAtMillis() - movedAtMillis < 4000,
+                "called again after ms: " + (lastCall().startedAtMillis() - movedAtMillis));
     }
 
     private static Policy.Settings settings(long seed, int fleetSize, long drainGraceMillis) {
-        return new Policy.Settings(seed, 0, fleetSize, "z", List.of(new Policy.RequestClass("any", Policy.Idempotency.ONCE,
-                Policy.KeyScope.ALL, 0, 1, 2, 1, 0, false)), List.of(), List.of(), List.of(),
+        return new Policy.Settings(seed, 0, fleetSize, "z",
+                List.of(new Policy.RequestClass("any", Policy.Idempotency.ONCE,
+                        Policy.KeyScope.ALL, 0, 1, 2, 1, 0, false)), List.of(), List.of(), List.of(),
                 new Policy.Limits(1, 1, 1, true, false, false, false, true, 1),
-                new Policy.ServiceRules(0, drainGraceMillis * 1000, 2, 1, 0.2, 1, 10_000_000, 0), 1, false, true, Policy.RateHint.NONE, 0);
+                new Policy.ServiceRules(0, drainGraceMillis * 1000, 2, 1, 0.2, 1, 10_000_000, 0), 1, false, true,
+                Policy.RateHint.NONE, 0);
     }
 
     /** How calls end while discovery is unavailable. */
@@ -173,7 +183,8 @@
                 failedCall.callback().handle(failure.status, "");
                 advanceToNextCall();
             }
-            assertTrue(lastCall().startedAtMillis() + RESPONSE_TIME_MILLIS <= outageEndMillis + DEEMED_DELIVERED_MILLIS, "outage ended at " + outageEndMillis + ", called again at " + lastCall().startedAtMillis());
+            assertTrue(lastCall().startedAtMillis() + RESPONSE_TIME_MILLIS <= outageEndMillis + DEEMED_DELIVERED_MILLIS,
+                    "outage ended at " + outageEndMillis + ", called again at " + lastCall().startedAtMillis());
         }
     }
 
@@ -192,8 +203,8 @@
     }
 
     /**
-     * A change within 200 ms after a response counts as delivered with that response. If it drains a host, the relay must
-     * respect that from the end of the drain grace on, so it has to call again before.
+     * A change within 200 ms after a response counts as delivered with it. If the change drains a host, the relay must
+     * stop sending to that host by the end of the drain grace, so it has to call discovery again before.
      */
     @ParameterizedTest
     @ValueSource(ints = {250, 400, 1000})
@@ -206,7 +217,8 @@
             lastCall().callback().handle(200, emptyListUpdate(7));
             long updatedAtMillis = nowMillis;
             advanceToNextCall();
-            assertTrue(lastCall().startedAtMillis() - updatedAtMillis < drainGraceMillis, "called again after ms: " + (lastCall().startedAtMillis() - updatedAtMillis));
+            assertTrue(lastCall().startedAtMillis() - updatedAtMillis < drainGraceMillis,
+                    "called again after ms: " + (lastCall().startedAtMillis() - updatedAtMillis));
         }
     }
 }
