--- a/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
+++ b/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void watchIsSentAgainAtOnceIfTheAgentClosesTheConnectionUnderIt() throws IOException {
+    void watchIsSentAgainAtOnceIfTheAgentClosesItsConnection() throws IOException {
         AtomicInteger watches = new AtomicInteger();
         discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204)
                 : switch (watches.incrementAndGet()) {
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void noticeIsSentAgainAtOnceIfTheAgentClosesTheConnectionUnderIt() throws IOException {
+    void noticeIsSentAgainAtOnceIfTheAgentClosesItsConnection() throws IOException {
         AtomicInteger notices = new AtomicInteger();
         discovery.respondWith(request -> !request.requestLine().startsWith("POST") ? StubPeer.NO_RESPONSE
                 : notices.incrementAndGet() == 2 ? StubPeer.CLOSE_CONNECTION : respondWithStatus(204));
--- a/src/test/java/drumdeal/relay/BadClientTest.java
+++ b/src/test/java/drumdeal/relay/BadClientTest.java
@@ -115,6 +115,8 @@
 
     @Test
     void oversizedBodyIsRejectedByItsLengthHeaderAndStillRead() throws IOException {
+        // If the relay closed the connection with bytes unread, the client would see a reset and could lose the
+        // response.
         relay.start();
         String head = RelayProcess.messageRequest("l1", "safe", 7, 1000, "").replace("Length: 0", "Length: 60000000");
         assertEquals(413, RelayProcess.exchange(connect(), head).status());
@@ -133,6 +135,7 @@
         relay.start();
         String validRequest = RelayProcess.messageRequest("d1", "safe", 7, 1000,
                 "0\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n");
+        // A peer that takes this body for a chunked one finds it empty and followed by a second request.
         String lengthHeader = "Content-Length: 30\r\n";
         assertTrue(validRequest.contains(lengthHeader), validRequest);
         for (String lengthHeaders : List.of(
--- a/src/test/java/drumdeal/relay/DeliveryTest.java
+++ b/src/test/java/drumdeal/relay/DeliveryTest.java
@@ -107,7 +107,7 @@
 
     @Test
     void messagesOfOneRoundAreSentInOneCall() throws IOException {
-        // The host refuses the first call and asks for a delay of 500 ms. Both messages wait for its end and are then
+        // The host refuses the first call and asks for a delay of 500 ms. Both messages wait for that time and are then
         // sent in one round.
         host.respondWith(request -> request.requestLine().contains("many")
                 ? respondWith(200, "[{\"id\":\"b1\",\"state\":\"done\"},{\"id\":\"b2\",\"state\":\"failed\"}]")
@@ -125,7 +125,7 @@
     @Test
     void batchResponseAfterTheEarliestDeadlineDeliversNoMessage() throws IOException {
         // The host refuses the first call, so that both messages are sent in the next one. It responds to that one only
-        // once the first message has reached its deadline, and then claims to have delivered both.
+        // after the deadline of "short", and then claims to have delivered both.
         host.respondWith(request -> {
             if (!request.requestLine().contains("many")) {
                 return respondWithStatus(503, "X-Come-Back-Ms: 500");
@@ -304,6 +304,8 @@
     @Test
     void atTheConnectionLimitIdleConnectionsAreClosedAndCallsWaitForOpenOnes()
             throws IOException, InterruptedException {
+        // The host rejects the first call of "a" and accepts its retry, whose connection is closed soon after. Then "c"
+        // has to wait for the connection of "b".
         CountDownLatch mayRespondToB = new CountDownLatch(1);
         simulateScarceConnections(request -> {
             if ("b".equals(request.callId())) {
--- a/src/test/java/drumdeal/relay/DiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/DiscoveryTest.java
@@ -99,11 +99,11 @@
         try (StubPeer newDiscovery = StubPeer.always(StubPeer.respondWithStatus(503))) {
             relay.moveDiscovery(newDiscovery);
             await(() -> newDiscovery.countRequests("GET /api/targets ") == 9);
-            long tookNanos = newDiscovery.requests.get(8).receivedAtNanos()
+            long elapsedNanos = newDiscovery.requests.get(8).receivedAtNanos()
                     - newDiscovery.requests.get(0).receivedAtNanos();
-            // Pauses that double up to 3.2 s and vary by half either way would take at least 9.4 s.
-            assertTrue(tookNanos < TimeUnit.MILLISECONDS.toNanos(9300), "ns for nine calls: " + tookNanos);
-            assertTrue(tookNanos > TimeUnit.MILLISECONDS.toNanos(3000), "ns for nine calls: " + tookNanos);
+            // With pauses that double up to 3.2 s, varied by half either way, nine calls would take at least 9.4 s.
+            assertTrue(elapsedNanos < TimeUnit.MILLISECONDS.toNanos(9300), "ns for nine calls: " + elapsedNanos);
+            assertTrue(elapsedNanos > TimeUnit.MILLISECONDS.toNanos(3000), "ns for nine calls: " + elapsedNanos);
         }
     }
 
--- a/src/test/java/drumdeal/relay/IdleClientsTest.java
+++ b/src/test/java/drumdeal/relay/IdleClientsTest.java
@@ -18,7 +18,7 @@
 
 /** Idle clients hold every connection that the relay allows to clients while discovery is unavailable. */
 class IdleClientsTest extends RelayTestBase {
-    /** The same number as in the configuration, so the relay can open no descriptor beyond that. */
+    /** The limit of the system, the same as in the configuration: the relay can open no descriptor beyond it. */
     private static final int DESCRIPTOR_LIMIT = 256;
     private static final int CLIENT_COUNT = 400;
 
--- a/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
+++ b/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
@@ -35,6 +35,7 @@
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop eventLoop = (EventLoop) eventLoopGroup.next();
     private final Clock clock = new Clock();
+    /** Results of the attempts that have ended, in this order. */
     private final List<Result> ended = new CopyOnWriteArrayList<>();
     private StubPeer host;
     private HostClient client;
@@ -75,12 +76,14 @@
         return attempt;
     }
 
+    /** Delivers a message and waits until its connection is idle. */
     private void leaveConnectionIdle() throws Exception {
         eventLoop.submit(() -> send("first")).sync();
         await(() -> ended.size() == 1);
         await(() -> callOnEventLoop(client::connectionSummary).contains("(1 idle)"));
     }
 
+    /** Runs a task on the event loop and returns its result. */
     private <T> T callOnEventLoop(Callable<T> task) {
         try {
             return eventLoop.submit(task).get();
@@ -204,6 +207,7 @@
         }
     }
 
+    /** Closes all connections on the side of the host. */
     private void closeHostConnections() {
         for (Socket connection : host.connections) {
             try {
--- a/src/test/java/drumdeal/relay/InputValidationTest.java
+++ b/src/test/java/drumdeal/relay/InputValidationTest.java
@@ -19,7 +19,10 @@
 
 /** Which input from clients, discovery and the configuration the relay accepts. */
 class InputValidationTest extends RelayTestBase {
-    /** Body of discovery's response to the next watch, set to null once it is sent; with null a watch stays open. */
+    /**
+     * Body of discovery's response to the next request for the list, set to null once it is used. With null a watch
+     * stays unanswered and a fetch gets version 1 of the list.
+     */
     private final AtomicReference<String> nextListUpdate = new AtomicReference<>(targetListJson(1, false));
 
     @BeforeEach
@@ -40,7 +43,8 @@
     @Test
     void invalidRequestsAreRejected() throws IOException {
         relay.start();
-        // The second watch shows that the relay has applied the first response: the list known at the start is current.
+        // The second watch shows that the relay has applied the response to the first one. Before that the list from
+        // the configuration may be outdated, and clients that name an unknown destination are told to retry.
         await(() -> discovery.countRequests("GET /api/targets?after=1&") == 2);
         String validRequest = RelayProcess.messageRequest("x1", "keyed", 7, 1000, "hello");
         assertEquals(400, relay.submit("x2", "nosuch", 7));
@@ -108,7 +112,7 @@
             }
             await(() -> otherHost.countRequests("POST /receive") == 10);
             assertEquals(0, host.countRequests("POST"));
-            assertEquals(202, relay.submit("new", "safe", 9), "a destination that the changes add");
+            assertEquals(202, relay.submit("new", "safe", 9), "a destination that the list update adds");
         }
     }
 
--- a/src/test/java/drumdeal/relay/MalformedResponseTest.java
+++ b/src/test/java/drumdeal/relay/MalformedResponseTest.java
@@ -65,7 +65,7 @@
 
     @Test
     void batchResponseThatCannotBeParsedToItsEndCountsForNoMessage() throws IOException {
-        // The host refuses the first call and asks for a delay of 500 ms. Both messages wait for its end and are then
+        // The host refuses the first call and asks for a delay of 500 ms. Both messages wait for that time and are then
         // sent in one call.
         host.respondWith(request -> request.requestLine().contains("many")
                 ? respondWith(200, "[{\"id\":\"b1\",\"state\":\"busy\"},{\"id\":\"b2\",\"state\":\"busy\"},7]")
--- a/src/test/java/drumdeal/relay/PipelinedRequestsTest.java
+++ b/src/test/java/drumdeal/relay/PipelinedRequestsTest.java
@@ -30,9 +30,9 @@
     /** Adds each response and each flush to the events. */
     private final class WriteRecorder extends ChannelOutboundHandlerAdapter {
         @Override
-        public void write(ChannelHandlerContext ctx, Object bytes, ChannelPromise promise) {
+        public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
             events.add(RESPONSE);
-            ctx.write(bytes, promise);
+            ctx.write(message, promise);
         }
 
         @Override
@@ -44,7 +44,7 @@
 
     private EmbeddedChannel createClientChannel() {
         Clock clock = new Clock();
-        ClientServer server = new ClientServer(null, clock, new EventLoopMonitor(null, clock, span -> { }), 10);
+        ClientServer server = new ClientServer(null, clock, new EventLoopMonitor(null, clock, stallMicros -> { }), 10);
         EmbeddedChannel channel = new EmbeddedChannel(new WriteRecorder());
         channel.pipeline().addLast(new ClientConnection(server, null, clock).handlers());
         channel.pipeline().fireChannelActive();
--- a/src/test/java/drumdeal/relay/RaceConditionTest.java
+++ b/src/test/java/drumdeal/relay/RaceConditionTest.java
@@ -71,7 +71,8 @@
             early.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
-            // The timeout of the late request, 2.5 s from connecting, would end after the process has exited.
+            // The early request keeps the process alive. The late one comes so late that its own timeout, 2.5 s from
+            // connecting, would end after the process has exited.
             Thread.sleep(1500);
             try (Socket late = relay.connect()) {
                 late.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
@@ -137,7 +138,7 @@
 
     @Test
     void endSignalRightAfterAReloadLeavesOpenMessagesToTheNextProcess() throws IOException, InterruptedException {
-        // The requested delay is longer than the process will run.
+        // The retry delay ends only after the process has exited.
         host.respondWith(request -> respondWithStatus(429, "X-Come-Back-Ms: 6000"));
         relay.start();
         assertEquals(202, relay.submit("held", "unsafe", 7));
--- a/src/test/java/drumdeal/relay/UnreadRequestTest.java
+++ b/src/test/java/drumdeal/relay/UnreadRequestTest.java
@@ -29,7 +29,7 @@
 
     /**
      * Submits a message that stays unread while the relay is paused, on a connection opened before the pause or during
-     * it. Sets {@link #waitedMillis}.
+     * it, and measures for how long it stays unread.
      */
     private RelayProcess.Response submitUnread(boolean connectBeforePause, long minUnreadMillis)
             throws IOException, InterruptedException {
@@ -61,17 +61,17 @@
     }
 
     @Test
-    void budgetIncludesTheTimeForWhichARequestIsUnread() throws IOException, InterruptedException {
+    void timeForWhichARequestIsUnreadCountsAgainstItsBudget() throws IOException, InterruptedException {
         assertBudgetIncludesUnreadTime(true);
     }
 
     @Test
-    void budgetIncludesTheTimeForWhichAConnectionIsNotAccepted() throws IOException, InterruptedException {
+    void timeForWhichAConnectionIsNotAcceptedCountsAgainstTheBudget() throws IOException, InterruptedException {
         assertBudgetIncludesUnreadTime(false);
     }
 
     @Test
-    void requestOlderThanItsClientWaitsIsRejected() throws IOException, InterruptedException {
+    void requestUnreadForTooLongIsRejected() throws IOException, InterruptedException {
         RelayProcess.Response response = submitUnread(true, 500);
         assertEquals(503, response.status());
         assertTrue(response.head().toLowerCase(Locale.ROOT).contains("retry-after"), response.head());
--- a/src/test/java/drumdeal/relay/UnresponsiveDiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/UnresponsiveDiscoveryTest.java
@@ -37,10 +37,10 @@
     private record Call(long startedAtMillis, String path, long timeoutMillis, AgentClient.ResponseHandler callback) {
         /** When a change that this call misses counts as delivered. */
         long deemedDeliveredAtMillis() {
-            Matcher wait = WAIT_PARAMETER.matcher(path);
-            return startedAtMillis + (wait.find()
+            Matcher waitParameter = WAIT_PARAMETER.matcher(path);
+            return startedAtMillis + (waitParameter.find()
                     ? Math.max(DEEMED_DELIVERED_MILLIS,
-                            Long.parseLong(wait.group(1)) + DEEMED_DELIVERED_AFTER_WAIT_MILLIS)
+                            Long.parseLong(waitParameter.group(1)) + DEEMED_DELIVERED_AFTER_WAIT_MILLIS)
                     : DEEMED_DELIVERED_MILLIS);
         }
     }
@@ -204,7 +204,7 @@
 
     /**
      * A change within 200 ms after a response counts as delivered with it. If the change drains a host, the relay must
-     * stop sending to that host by the end of the drain grace, so it has to call discovery again before.
+     * stop sending to that host by the end of the drain grace, so it has to call discovery again before then.
      */
     @ParameterizedTest
     @ValueSource(ints = {250, 400, 1000})
