--- a/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
+++ b/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Discovery's agent closes a connection that rests just as the next call goes on it. */
+/** Discovery's agent closes an idle connection just as the next request is sent on it, or cuts off a response. */
 class AgentConnectionRaceTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void agentThatClosesItsConnectionAsTheNextCallIsWrittenIsAskedAgainAtOnce() throws IOException {
+    void watchIsSentAgainAtOnceIfTheAgentClosesItsConnection() throws IOException {
         AtomicInteger watches = new AtomicInteger();
         discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204)
                 : switch (watches.incrementAndGet()) {
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void noticeWhoseConnectionClosesAsItIsWrittenIsToldAgainAtOnce() throws IOException {
+    void noticeIsSentAgainAtOnceIfTheAgentClosesItsConnection() throws IOException {
         AtomicInteger notices = new AtomicInteger();
         discovery.respondWith(request -> !request.requestLine().startsWith("POST") ? StubPeer.NO_RESPONSE
                 : notices.incrementAndGet() == 2 ? StubPeer.CLOSE_CONNECTION : respondWithStatus(204));
@@ -50,15 +50,15 @@
     }
 
     @Test
-    void answerThatIsCutInTheMiddleIsAskedForAgainAndAnIndentedOneIsRead() throws IOException {
+    void truncatedResponseIsRequestedAgainAndAnIndentedOneIsParsed() throws IOException {
         AtomicInteger watches = new AtomicInteger();
-        String news = respondWith(200, RelayProcess.targetListJson(2, false,
-                RelayProcess.targetJson("h1", 7, "one", "terminating", host.address())).replace("{", "{\n  ").replace(",", " ,\n  ")
-                .replace(":", ": ").replace("127.0.0.1: ", "127.0.0.1:"));
+        String listUpdate = respondWith(200, RelayProcess.targetListJson(2, false,
+                RelayProcess.targetJson("h1", 7, "one", "terminating", host.address()))
+                .replace("{", "{\n  ").replace(",", " ,\n  ").replace(":", ": ").replace("127.0.0.1: ", "127.0.0.1:"));
         discovery.respondWith(request -> request.requestLine().startsWith("POST") ? respondWithStatus(204)
                 : switch (watches.incrementAndGet()) {
-                    case 1 -> sendTruncated(news);
-                    case 2 -> news;
+                    case 1 -> sendTruncated(listUpdate);
+                    case 2 -> listUpdate;
                     default -> StubPeer.NO_RESPONSE;
                 });
         relay.start();
@@ -66,21 +66,21 @@
         assertTrue(relay.log().contains("no list"), relay.log());
         assertTrue(relay.fetchStats().contains("\"members_unavailable\":1"), relay.fetchStats());
         assertEquals(202, relay.submit("held", "safe", 7));
-        assertEquals(0, host.requests.size(), "it drains");
+        assertEquals(0, host.requests.size(), "the host drains");
     }
 
-    /** Writes a part of an answer, behind which the connection closes. */
-    private String sendTruncated(String answer) {
+    /** Writes the first half of a response, after which the connection is closed. */
+    private String sendTruncated(String response) {
         try {
             discovery.connections.get(discovery.connections.size() - 1).getOutputStream()
-                    .write(answer.substring(0, answer.length() / 2).getBytes());
+                    .write(response.substring(0, response.length() / 2).getBytes());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return StubPeer.CLOSE_CONNECTION;
     }
 
-    /** A relay that is short of CPU may refuse a message at the door: its client comes again. */
+    /** Submits a message until it is accepted, each time with another id: a relay short of CPU may reject it. */
     private void submitUntilAccepted(String id) {
         AtomicInteger tries = new AtomicInteger();
         await(() -> {
--- a/src/test/java/drumdeal/relay/DeliveryTest.java
+++ b/src/test/java/drumdeal/relay/DeliveryTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Calls to hosts: what is sent, what the answers mean, and what must not be sent. */
+/** Calls to hosts: what the relay sends, how it interprets the responses, and what it must not send. */
 class DeliveryTest extends RelayTestBase {
     private static final int MAX_TRIES = 10;
 
@@ -26,31 +26,31 @@
     }
 
     @Test
-    void messageGoesOnUnchanged() throws IOException {
-        String bytes = "\u0000\r\n\u00ff{}";
-        assertEquals(202, relay.start().submit("abc1", "keyed", 7, 20_000, bytes));
+    void messageIsForwardedUnchanged() throws IOException {
+        String body = "\u0000\r\n\u00ff{}";
+        assertEquals(202, relay.start().submit("abc1", "keyed", 7, 20_000, body));
         await(() -> host.requests.size() == 1);
         StubPeer.Request call = host.requests.get(0);
         assertEquals("POST /receive HTTP/1.1", call.requestLine());
         assertEquals("abc1", call.callId());
         assertEquals("key-abc1", call.headers().get("idempotency-key"));
-        assertEquals(bytes, call.body());
+        assertEquals(body, call.body());
         assertTrue(Integer.parseInt(call.headers().get("x-budget-ms")) <= 20_000);
     }
 
     @Test
-    void connectionIsUsedAgain() throws IOException {
+    void connectionIsReused() throws IOException {
         relay.start();
         for (int i = 0; i < 5; i++) {
-            int before = i;
+            int requestsBefore = i;
             assertEquals(202, relay.submit("id" + i, "safe", 7));
-            await(() -> host.requests.size() == before + 1);
+            await(() -> host.requests.size() == requestsBefore + 1);
         }
         assertEquals(1, host.connections.size());
     }
 
     @Test
-    void unsafeMessageThatMayHaveRunIsNotSentAgain() throws IOException {
+    void unsafeMessageThatMayHaveBeenProcessedIsNotRetried() throws IOException {
         host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
         assertEquals(202, relay.start().submit("u1", "unsafe", 7));
         await(() -> relay.hasSentNotice("u1", "dead"));
@@ -59,22 +59,23 @@
     }
 
     @Test
-    void unsafeMessageThatNeverRanIsSentAgain() throws IOException {
-        host.respondWith(request -> host.countRequests("POST /receive") == 1 ? respondWithStatus(503) : respondWithStatus(200));
+    void unsafeMessageRefusedWithStatus503IsRetried() throws IOException {
+        host.respondWith(request ->
+                host.countRequests("POST /receive") == 1 ? respondWithStatus(503) : respondWithStatus(200));
         assertEquals(202, relay.start().submit("u2", "unsafe", 7));
         await(() -> host.countRequests("POST /receive") == 2);
         assertEquals("u2", host.requests.get(1).callId());
     }
 
     @Test
-    void connectionThatIsRefusedProvesThatNothingRan() throws IOException {
+    void unsafeMessageEndsAsBouncedIfTheHostRefusesConnections() throws IOException {
         host.close();
         assertEquals(202, relay.start().submit("u3", "unsafe", 7, 1500, "x"));
         await(() -> relay.hasSentNotice("u3", "bounced"));
     }
 
     @Test
-    void callThatIsNotAnsweredEndsWithItsTime() throws IOException {
+    void unansweredCallEndsAtTheMessageDeadline() throws IOException {
         host.respondWith(request -> StubPeer.NO_RESPONSE);
         assertEquals(202, relay.start().submit("u4", "unsafe", 7, 700, "x"));
         await(() -> relay.hasSentNotice("u4", "dead"));
@@ -82,7 +83,7 @@
     }
 
     @Test
-    void messageThatIsOverAtTheHostNeedsNoNotice() throws IOException {
+    void status410EndsAMessageWithoutANotice() throws IOException {
         host.respondWith(request -> respondWithStatus(410));
         relay.start().submit("g1", "safe", 7);
         await(() -> host.requests.size() == 1);
@@ -93,19 +94,21 @@
     }
 
     @Test
-    void toldWaitIsObeyed() throws IOException {
-        host.respondWith(request -> host.requests.size() == 1 ? respondWithStatus(429, "X-Come-Back-Ms: 1200") : respondWithStatus(200));
+    void retryDelayRequestedByTheHostIsObeyed() throws IOException {
+        host.respondWith(request -> host.requests.size() == 1 ? respondWithStatus(429, "X-Come-Back-Ms: 1200")
+                : respondWithStatus(200));
         relay.start().submit("w1", "safe", 7);
         await(() -> host.requests.size() == 1);
         relay.submit("w2", "safe", 7);
         await(() -> host.requests.size() == 3);
-        long gap = host.requests.get(1).receivedAtNanos() - host.requests.get(0).receivedAtNanos();
-        assertTrue(gap >= TimeUnit.MILLISECONDS.toNanos(1200), "sent after ns: " + gap);
+        long gapNanos = host.requests.get(1).receivedAtNanos() - host.requests.get(0).receivedAtNanos();
+        assertTrue(gapNanos >= TimeUnit.MILLISECONDS.toNanos(1200), "ns between the calls: " + gapNanos);
     }
 
     @Test
-    void messagesOfOneRoundTravelInOneCall() throws IOException {
-        // The destination refuses the first call, so that what comes meanwhile waits for its pace together.
+    void messagesOfOneRoundAreSentInOneCall() throws IOException {
+        // The host refuses the first call and asks for a delay of 500 ms. Both messages wait for that time and are then
+        // sent in one round.
         host.respondWith(request -> request.requestLine().contains("many")
                 ? respondWith(200, "[{\"id\":\"b1\",\"state\":\"done\"},{\"id\":\"b2\",\"state\":\"failed\"}]")
                 : host.requests.size() == 1 ? respondWithStatus(503, "X-Come-Back-Ms: 500") : StubPeer.NO_RESPONSE);
@@ -120,8 +123,9 @@
     }
 
     @Test
-    void answerAfterTheTimeOfOneOfItsMessagesDeliversNone() throws IOException {
-        // The host answers as soon as the first message is over, and claims to have delivered both.
+    void batchResponseAfterTheEarliestDeadlineDeliversNoMessage() throws IOException {
+        // The host refuses the first call, so that both messages are sent in the next one. It responds to that one only
+        // after the deadline of "short", and then claims to have delivered both.
         host.respondWith(request -> {
             if (!request.requestLine().contains("many")) {
                 return respondWithStatus(503, "X-Come-Back-Ms: 500");
@@ -139,8 +143,9 @@
     }
 
     @Test
-    void idleConnectionsAreNotTrustedAfterABreak() throws IOException {
-        host.respondWith(request -> request.callId().startsWith("slow") ? StubPeer.NO_RESPONSE : respondWithStatus(200));
+    void idleConnectionsAreClosedAfterAnotherOneBreaks() throws IOException {
+        host.respondWith(request ->
+                request.callId().startsWith("slow") ? StubPeer.NO_RESPONSE : respondWithStatus(200));
         relay.start();
         relay.submit("slow", "safe", 7);
         await(() -> host.requests.size() == 1);
@@ -155,7 +160,8 @@
     }
 
     @Test
-    void connectionThatAnsweredSinceALostCallLeftIsKept() throws IOException {
+    void connectionThatRespondedAfterATimedOutCallWasSentIsKept() throws IOException {
+        // The call of "lost" keeps the first connection busy, so "since" goes on a second one.
         host.respondWith(request -> request.callId().equals("lost") ? StubPeer.NO_RESPONSE : respondWithStatus(200));
         assertEquals(202, relay.start().submit("lost", "unsafe", 7, 3000, "x"));
         await(() -> host.hasReceived("lost"));
@@ -167,7 +173,8 @@
     }
 
     @Test
-    void connectionThatHasRestedSinceBeforeALostCallIsClosed() throws IOException {
+    void connectionIdleSinceBeforeATimedOutCallIsClosed() throws IOException {
+        // The host responds only once it has both of the first calls, so that they use two connections.
         host.respondWith(request -> {
             await(() -> host.requests.size() >= 2);
             return request.callId().equals("lost") ? StubPeer.NO_RESPONSE : respondWithStatus(200);
@@ -183,7 +190,7 @@
     }
 
     @Test
-    void answerThatMakesNoSenseIsSurvived() throws IOException {
+    void relaySurvivesMalformedResponsesAndLoadReports() throws IOException {
         host.respondWith(request -> "\u0001\u0002 nonsense\r\n\r\n");
         relay.start().submit("n1", "unsafe", 7);
         await(() -> relay.hasSentNotice("n1", "dead"));
@@ -194,25 +201,27 @@
     }
 
     @Test
-    void clientThatLeavesBeforeItsAnswerIsForgotten() throws IOException {
+    void messageOfAClientThatDisconnectsBeforeItsResponseIsNotDelivered() throws IOException {
         relay.roundPeriodSeconds("0.5").start();
-        // On a busy machine a whole period may pass between the last byte and the leaving: such a try says nothing.
-        boolean forgotten = false;
-        for (int i = 0; i < MAX_TRIES && !forgotten; i++) {
-            String left = "left" + i;
-            String stayed = "stayed" + i;
+        // On a busy machine a whole round period may pass between the request and the disconnect. The relay then
+        // delivers the message rightly, and the test tries again.
+        boolean withdrawn = false;
+        for (int i = 0; i < MAX_TRIES && !withdrawn; i++) {
+            String leavingId = "left" + i;
+            String stayingId = "stayed" + i;
             try (Socket socket = relay.connect()) {
-                socket.getOutputStream().write(RelayProcess.messageRequest(left, "safe", 7, 20_000, "hello").getBytes());
+                socket.getOutputStream().write(
+                        RelayProcess.messageRequest(leavingId, "safe", 7, 20_000, "hello").getBytes());
             }
-            assertEquals(202, relay.submit(stayed, "safe", 7));
-            await(() -> host.hasReceived(stayed) && relay.readOpenMessages().isEmpty());
-            forgotten = !host.hasReceived(left);
+            assertEquals(202, relay.submit(stayingId, "safe", 7));
+            await(() -> host.hasReceived(stayingId) && relay.readOpenMessages().isEmpty());
+            withdrawn = !host.hasReceived(leavingId);
         }
-        assertTrue(forgotten, "what a client gave up was delivered each time");
+        assertTrue(withdrawn, "the message of the client that disconnected was delivered in every try");
     }
 
     @Test
-    void answerThatNeverEndsDeliversAndHoldsUpNothing() throws IOException {
+    void unfinishedResponseWithStatus200DeliversAndDoesNotBlockLaterCalls() throws IOException {
         host.respondWith(request -> "HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n");
         relay.start().submit("e1", "unsafe", 7);
         await(() -> host.requests.size() == 1 && relay.readOpenMessages().isEmpty());
@@ -224,8 +233,9 @@
     }
 
     @Test
-    void deliveredMessagesAreNotHeldInMemory() throws IOException {
+    void deliveredMessagesDoNotStayInMemory() throws IOException {
         relay.start();
+        // 500 bodies of 64 KiB exceed the heap of the relay, which exits when it runs out of memory.
         String body = "x".repeat(64 << 10);
         try (Socket socket = relay.connect()) {
             for (int i = 0; i < 500; i++) {
@@ -240,7 +250,7 @@
     }
 
     @Test
-    void requestThatIsCutOffIsNotTakenOn() throws IOException {
+    void truncatedRequestIsNotAccepted() throws IOException {
         relay.start();
         Socket socket = relay.connect();
         socket.setSoLinger(true, 0);
@@ -253,24 +263,25 @@
     }
 
     @Test
-    void connectionIsKeptForLessTimeThanOneThatBrokeHadRested() throws IOException, InterruptedException {
+    void idleTimeoutIsShortenedAfterAnIdleConnectionBreaks() throws IOException, InterruptedException {
         relay.start();
         assertEquals(202, relay.submit("r1", "safe", 7));
         await(() -> host.requests.size() == 1);
         Thread.sleep(400);
-        host.respondWith(request -> host.countRequests("POST") == 2 ? StubPeer.CLOSE_CONNECTION : respondWithStatus(200));
+        host.respondWith(request ->
+                host.countRequests("POST") == 2 ? StubPeer.CLOSE_CONNECTION : respondWithStatus(200));
         assertEquals(202, relay.submit("r2", "safe", 7));
         await(() -> host.requests.size() == 3);
-        assertEquals(2, host.connections.size(), "a kept connection broke, a new one took over");
-        long rested = host.requests.get(1).receivedAtNanos() - host.requests.get(0).receivedAtNanos();
-        Thread.sleep(rested / 1_000_000);
+        assertEquals(2, host.connections.size(), "the idle connection breaks and the retry uses a new one");
+        long idleNanos = host.requests.get(1).receivedAtNanos() - host.requests.get(0).receivedAtNanos();
+        Thread.sleep(idleNanos / 1_000_000);
         assertEquals(202, relay.submit("r3", "safe", 7));
         await(() -> host.requests.size() == 4);
-        assertEquals(3, host.connections.size(), "one that rested as long is not trusted");
+        assertEquals(3, host.connections.size(), "a connection idle as long as the one that broke is not reused");
     }
 
     @Test
-    void callThatTheRelayGivesUpDoesNotShortenTheRestOfConnections() throws IOException, InterruptedException {
+    void callThatTheRelayAbandonsDoesNotShortenTheIdleTimeout() throws IOException, InterruptedException {
         relay.start();
         assertEquals(202, relay.submit("g1", "safe", 7));
         await(() -> host.requests.size() == 1);
@@ -281,18 +292,24 @@
         assertFalse(relay.log().contains("a connection broke"), relay.log());
     }
 
-    /** The host turns the first call away, on a connection that it closes; others answer as told. */
-    private void simulateScarceConnections(Function<StubPeer.Request, String> others) {
-        host.respondWith(request -> host.countRequests("POST") == 1 ? StubPeer.respondWithStatus(503, "Connection: close")
-                : others.apply(request));
+    /**
+     * Makes the host answer the first call with status 503 and close its connection, as a host at its connection limit
+     * does. The function answers later calls.
+     */
+    private void simulateScarceConnections(Function<StubPeer.Request, String> laterResponses) {
+        host.respondWith(request -> host.countRequests("POST") == 1
+                ? StubPeer.respondWithStatus(503, "Connection: close") : laterResponses.apply(request));
     }
 
     @Test
-    void scarceConnectionIsWaitedForAndThenLetGo() throws IOException, InterruptedException {
-        CountDownLatch free = new CountDownLatch(1);
+    void atTheConnectionLimitIdleConnectionsAreClosedAndCallsWaitForOpenOnes()
+            throws IOException, InterruptedException {
+        // The host rejects the first call of "a" and accepts its retry, whose connection is closed soon after. Then "c"
+        // has to wait for the connection of "b".
+        CountDownLatch mayRespondToB = new CountDownLatch(1);
         simulateScarceConnections(request -> {
             if ("b".equals(request.callId())) {
-                await(() -> free.getCount() == 0);
+                await(() -> mayRespondToB.getCount() == 0);
             }
             return respondWithStatus(200);
         });
@@ -304,40 +321,41 @@
         await(() -> host.hasReceived("b"));
         assertEquals(202, relay.submit("c", "safe", 7));
         Thread.sleep(500);
-        free.countDown();
+        mayRespondToB.countDown();
         await(() -> host.hasReceived("c"));
-        assertEquals(3, host.connections.size(), "the one of b carried c too");
+        assertEquals(3, host.connections.size(), "the connection of b is used for c too");
     }
 
     @Test
-    void connectionsToAllHostsOfAKindAreLetGoOnceOneOfItHasNoMore() throws IOException, InterruptedException {
-        try (StubPeer other = StubPeer.always(respondWithStatus(200))) {
+    void connectionLimitOfOneHostClosesIdleConnectionsToAllHostsOfItsKind() throws IOException, InterruptedException {
+        try (StubPeer otherHost = StubPeer.always(respondWithStatus(200))) {
             simulateScarceConnections(request -> respondWithStatus(200));
-            relay.addTarget("h2", 9, "one", other).start();
+            relay.addTarget("h2", 9, "one", otherHost).start();
             assertEquals(202, relay.submit("kept", "safe", 9));
-            await(() -> other.hasReceived("kept"));
+            await(() -> otherHost.hasReceived("kept"));
             assertEquals(202, relay.submit("a", "safe", 7));
             await(() -> host.requests.size() == 2);
-            // Called so often that a connection kept for the settings' span would never fall idle for it.
-            for (int i = 0; i < 50 && other.connections.size() < 3; i++) {
+            // The calls come so often that a connection kept for the idle time in the settings would carry them all.
+            for (int i = 0; i < 50 && otherHost.connections.size() < 3; i++) {
                 assertEquals(202, relay.submit("b" + i, "safe", 9));
                 Thread.sleep(100);
             }
-            assertEquals(3, other.connections.size(), "each call came on a connection of its own");
+            assertEquals(3, otherHost.connections.size(), "each call uses a connection of its own");
         }
     }
 
     @Test
-    void repeatThatGetsAConnectionAfterItsWindowIsNotSent() throws IOException {
-        CountDownLatch waiting = new CountDownLatch(1);
-        CountDownLatch late = new CountDownLatch(1);
+    void retryThatGetsAConnectionAfterTheDedupWindowIsNotSent() throws IOException {
+        // "k" fails and is due for a retry, but "b" holds the only connection until the dedup window of 5 s is over.
+        CountDownLatch mayRespondToK = new CountDownLatch(1);
+        CountDownLatch mayRespondToB = new CountDownLatch(1);
         simulateScarceConnections(request -> {
             if ("k".equals(request.callId())) {
-                await(() -> waiting.getCount() == 0);
+                await(() -> mayRespondToK.getCount() == 0);
                 return respondWithStatus(500);
             }
             if ("b".equals(request.callId())) {
-                await(() -> late.getCount() == 0);
+                await(() -> mayRespondToB.getCount() == 0);
             }
             return respondWithStatus(200);
         });
@@ -346,13 +364,13 @@
         await(() -> host.requests.size() == 2);
         assertEquals(202, relay.submit("k", "keyed", 7, 9000, "hello"));
         await(() -> host.hasReceived("k"));
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         assertEquals(202, relay.submit("b", "unsafe", 7));
-        await(() -> System.nanoTime() - from > 500_000_000L);
-        waiting.countDown();
+        await(() -> System.nanoTime() - startNanos > 500_000_000L);
+        mayRespondToK.countDown();
         await(() -> host.hasReceived("b"));
-        await(() -> System.nanoTime() - from > 5_200_000_000L);
-        late.countDown();
+        await(() -> System.nanoTime() - startNanos > 5_200_000_000L);
+        mayRespondToB.countDown();
         await(() -> relay.hasSentNotice("k", "dead"));
         assertEquals(1, host.requests.stream().filter(r -> "k".equals(r.callId())).count());
     }
--- a/src/test/java/drumdeal/relay/IdleClientsTest.java
+++ b/src/test/java/drumdeal/relay/IdleClientsTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Idle clients take every connection that there is for them while discovery is gone. */
+/** Idle clients hold every connection that the relay allows to clients while discovery is unavailable. */
 class IdleClientsTest extends RelayTestBase {
-    /** As the configuration says, and no more. */
+    /** The limit of the system, the same as in the configuration: the relay can open no descriptor beyond it. */
     private static final int DESCRIPTOR_LIMIT = 256;
     private static final int CLIENT_COUNT = 400;
 
@@ -27,7 +27,8 @@
 
     @BeforeEach
     void prepare() throws IOException {
-        prepare(new StubPeer(this::respondAsDiscovery), new StubPeer(request -> respondWithStatus("fails".equals(request.callId()) ? 500 : 200)));
+        prepare(new StubPeer(this::respondAsDiscovery),
+                new StubPeer(request -> respondWithStatus("fails".equals(request.callId()) ? 500 : 200)));
         relay.descriptorLimit(DESCRIPTOR_LIMIT);
     }
 
@@ -42,13 +43,14 @@
         if (request.requestLine().startsWith("POST")) {
             return respondWithStatus(204);
         }
-        String known = targetJson("h1", 7, "one", "in_service", host.address());
-        String added = targetJson("h2", 9, "one", "in_service", host.address());
-        return isDiscoveryRestored ? respondWith(200, targetListJson(2, true, known, added)) : respondWithStatus(503);
+        String knownTarget = targetJson("h1", 7, "one", "in_service", host.address());
+        String addedTarget = targetJson("h2", 9, "one", "in_service", host.address());
+        return isDiscoveryRestored ? respondWith(200, targetListJson(2, true, knownTarget, addedTarget))
+                : respondWithStatus(503);
     }
 
     @Test
-    void callsNoticesAndDiscoveryKeepDescriptorsOfTheirOwn() throws IOException {
+    void descriptorsStayReservedForCallsNoticesAndDiscovery() throws IOException {
         relay.start();
         for (int i = 0; i < CLIENT_COUNT; i++) {
             clients.add(relay.connect());
@@ -62,6 +64,7 @@
         await(() -> relay.log().contains("discovery: version 2"));
         assertEquals(202, relay.submit("new", "safe", 9));
         await(() -> host.hasReceived("new"));
-        assertTrue(relay.countOpenDescriptors() <= DESCRIPTOR_LIMIT, "descriptors: " + relay.countOpenDescriptors());
+        assertTrue(relay.countOpenDescriptors() <= DESCRIPTOR_LIMIT,
+                "open descriptors: " + relay.countOpenDescriptors());
     }
 }
--- a/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
+++ b/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
@@ -26,11 +26,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Kept connections to a host that end just as a call is about to go on them, in steps on the event loop itself. */
+/**
+ * Idle connections to a host that close just when a call is about to be sent on them. The tests run their steps as
+ * tasks on the event loop, so the loop reads nothing from the connections between the steps of one task.
+ */
 class IdleHostConnectionTest implements HostClient.ResultListener {
-    private final MultiThreadIoEventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup eventLoopGroup =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop eventLoop = (EventLoop) eventLoopGroup.next();
     private final Clock clock = new Clock();
+    /** Results of the attempts that have ended, in this order. */
     private final List<Result> ended = new CopyOnWriteArrayList<>();
     private StubPeer host;
     private HostClient client;
@@ -38,15 +43,15 @@
     @BeforeEach
     void start() throws Exception {
         host = StubPeer.always(respondWithStatus(200));
-        Policy.RequestClass once = new Policy.RequestClass("once", Policy.Idempotency.ONCE, Policy.KeyScope.ALL, 0, 1, 20_000_000,
-                1, 0, false);
-        Policy.Settings settings = new Policy.Settings(1, 0, 1, "z", List.of(once), List.of(),
+        Policy.RequestClass requestClass = new Policy.RequestClass("once", Policy.Idempotency.ONCE,
+                Policy.KeyScope.ALL, 0, 1, 20_000_000, 1, 0, false);
+        Policy.Settings settings = new Policy.Settings(1, 0, 1, "z", List.of(requestClass), List.of(),
                 List.of(new Policy.DestinationKind("one", false, 1)), List.of(),
                 new Policy.Limits(8, 8, 8, true, false, false, false, true, 1_000_000),
                 new Policy.ServiceRules(0, 1, 2, 1, 0.2, 1, 1, 0), 1, false, true, Policy.RateHint.NONE, 0);
-        InetSocketAddress none = Config.parseAddress("127.0.0.1:1");
-        Config config = new Config(none, null, none, null, 256, 1 << 20, settings, 5000, 100_000_000, false, -1, List.of(),
-                Map.of());
+        InetSocketAddress unusedAddress = Config.parseAddress("127.0.0.1:1");
+        Config config = new Config(unusedAddress, null, unusedAddress, null, 256, 1 << 20, settings, 5000, 100_000_000,
+                false, -1, List.of(), Map.of());
         Target target = new Target(new Policy.ListedRoute("h", 7, "one", "z", Policy.Availability.LISTED, 0),
                 Config.parseAddress(host.address()));
         eventLoop.submit(() -> {
@@ -61,33 +66,37 @@
         eventLoopGroup.shutdownGracefully();
     }
 
+    /** Sends a message to the host in a call of its own; must run on the event loop. */
     private Message.Attempt send(String id) {
         long now = clock.micros();
-        Message message = new Message(1, new Message.Content(id, "once", null, null, now + 20_000_000, 7, new byte[5]), null);
+        Message message = new Message(1,
+                new Message.Content(id, "once", null, null, now + 20_000_000, 7, new byte[5]), null);
         Message.Attempt attempt = message.addAttempt("h", now);
         client.send("h", List.of(new HostClient.OutgoingAttempt(attempt, 10_000_000, Long.MAX_VALUE)));
         return attempt;
     }
 
+    /** Delivers a message and waits until its connection is idle. */
     private void leaveConnectionIdle() throws Exception {
         eventLoop.submit(() -> send("first")).sync();
         await(() -> ended.size() == 1);
         await(() -> callOnEventLoop(client::connectionSummary).contains("(1 idle)"));
     }
 
-    private <T> T callOnEventLoop(Callable<T> look) {
+    /** Runs a task on the event loop and returns its result. */
+    private <T> T callOnEventLoop(Callable<T> task) {
         try {
-            return eventLoop.submit(look).get();
+            return eventLoop.submit(task).get();
         } catch (InterruptedException | ExecutionException e) {
             throw new AssertionError(e);
         }
     }
 
     @Test
-    void callIsNotWrittenToAConnectionThatItsHostHasClosedSinceTheLastRead() throws Exception {
+    void callIsNotSentOnAConnectionThatTheHostClosedSinceTheLastRead() throws Exception {
         leaveConnectionIdle();
         eventLoop.submit(() -> {
-            // The loop is in this step: it has not read the end that is there from here on.
+            // The event loop is running this task, so it has not read the end of the connection before the next call.
             closeHostConnections();
             send("second");
         }).sync();
@@ -97,7 +106,7 @@
     }
 
     @Test
-    void callIsNotWrittenToAConnectionThatThisRelayHasJustClosed() throws Exception {
+    void callIsNotSentOnAConnectionThatTheRelayHasJustClosed() throws Exception {
         leaveConnectionIdle();
         eventLoop.submit(() -> {
             client.closeIdle("h");
@@ -107,19 +116,22 @@
         assertEquals(List.of(Result.OK, Result.OK), ended);
     }
 
-    /** Behind half a line a refusal could not be read: a message that may take effect once would have to fail. */
+    /**
+     * Bytes of a status line that no call asked for would garble the response to the next call. Then even a refusal
+     * could not be parsed, and a message that may take effect only once would have to fail.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void callIsNotWrittenToAConnectionOnWhichItsHostHasBegunALine(boolean inTheSameStep) throws Exception {
+    void callIsNotSentOnAConnectionOnWhichTheHostHasBegunAStatusLine(boolean inTheSameTask) throws Exception {
         leaveConnectionIdle();
         host.respondWith(request -> respondWithStatus(503));
         eventLoop.submit(() -> {
             assertTrue(writeFromHost("HTTP/1.1 5"));
-            if (inTheSameStep) {
+            if (inTheSameTask) {
                 send("second");
             }
         }).sync();
-        if (!inTheSameStep) {
+        if (!inTheSameTask) {
             await(() -> callOnEventLoop(client::connections) == 0);
             eventLoop.submit(() -> send("second")).sync();
         }
@@ -129,7 +141,7 @@
     }
 
     @Test
-    void callThatMeetsTheEndOfItsConnectionAfterItsLastByteMayHaveRunAndIsToldOnce() throws Exception {
+    void callWhoseConnectionClosesAfterItWasSentEndsOnceAsReset() throws Exception {
         leaveConnectionIdle();
         host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
         eventLoop.submit(() -> send("second")).sync();
@@ -140,7 +152,7 @@
     }
 
     @Test
-    void callIsNotGivenUpWhoseAnswerHasComeSinceTheLastRead() throws Exception {
+    void callWhoseResponseArrivedSinceTheLastReadIsNotCancelled() throws Exception {
         leaveConnectionIdle();
         host.respondWith(request -> StubPeer.NO_RESPONSE);
         Message.Attempt attempt = callOnEventLoop(() -> send("second"));
@@ -154,7 +166,7 @@
     }
 
     @Test
-    void callThatIsGivenUpEndsOnceThoughItsAnswerComesAfterAll() throws Exception {
+    void cancelledCallEndsOnceEvenIfItsResponseStillArrives() throws Exception {
         leaveConnectionIdle();
         host.respondWith(request -> StubPeer.NO_RESPONSE);
         Message.Attempt attempt = callOnEventLoop(() -> send("second"));
@@ -170,9 +182,9 @@
     }
 
     @Test
-    void connectionThatComesUpAfterItsCallWasGivenUpIsKeptForTheNextOne() throws Exception {
+    void connectionEstablishedAfterItsCallWasCancelledIsKeptForTheNextCall() throws Exception {
         eventLoop.submit(() -> {
-            // In this step the connection can't be up yet.
+            // The connection can't be established yet within this task.
             client.cancel(send("late"));
         }).sync();
         await(() -> callOnEventLoop(client::connectionSummary).contains("(1 idle)"));
@@ -185,7 +197,7 @@
         assertEquals(1, callOnEventLoop(client::connections));
     }
 
-    /** Writes what the host says next; false where the connection has ended. */
+    /** Writes bytes from the host on its first connection; false if the connection is closed. */
     private boolean writeFromHost(String bytes) {
         try {
             host.connections.get(0).getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
@@ -195,6 +207,7 @@
         }
     }
 
+    /** Closes all connections on the side of the host. */
     private void closeHostConnections() {
         for (Socket connection : host.connections) {
             try {
@@ -206,12 +219,13 @@
     }
 
     @Override
-    public void attemptEnded(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report) {
+    public void attemptEnded(Message.Attempt attempt, Result result, boolean messageFinished, long retryAfter,
+            LimitReport limitReport) {
         ended.add(result);
     }
 
     @Override
-    public void probeEnded(String route, Result result, long wait, long elapsed, LimitReport report) { }
+    public void probeEnded(String route, Result result, long retryAfter, long elapsed, LimitReport limitReport) { }
 
     @Override
     public void callWritten(int messages) { }
--- a/src/test/java/drumdeal/relay/InputValidationTest.java
+++ b/src/test/java/drumdeal/relay/InputValidationTest.java
@@ -17,9 +17,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What clients and discovery may send, and what of it is taken on. */
+/** Which input from clients, discovery and the configuration the relay accepts. */
 class InputValidationTest extends RelayTestBase {
-    /** What discovery's watch answers next; each news is told once. */
+    /**
+     * Body of discovery's response to the next request for the list, set to null once it is used. With null a watch
+     * stays unanswered and a fetch gets version 1 of the list.
+     */
     private final AtomicReference<String> nextListUpdate = new AtomicReference<>(targetListJson(1, false));
 
     @BeforeEach
@@ -31,25 +34,27 @@
         if (request.requestLine().startsWith("POST")) {
             return respondWithStatus(204);
         }
-        String told = nextListUpdate.getAndSet(null);
-        return told != null ? respondWith(200, told) : request.requestLine().contains("after=") ? StubPeer.NO_RESPONSE
+        String listUpdate = nextListUpdate.getAndSet(null);
+        return listUpdate != null ? respondWith(200, listUpdate)
+                : request.requestLine().contains("after=") ? StubPeer.NO_RESPONSE
                 : respondWith(200, targetListJson(1, true, targetJson("h1", 7, "one", "in_service", host.address())));
     }
 
     @Test
-    void badRequestsAreNotTakenOn() throws IOException {
+    void invalidRequestsAreRejected() throws IOException {
         relay.start();
-        // The answer to the first watch has been taken in: the list known at the start is current.
+        // The second watch shows that the relay has applied the response to the first one. Before that the list from
+        // the configuration may be outdated, and clients that name an unknown destination are told to retry.
         await(() -> discovery.countRequests("GET /api/targets?after=1&") == 2);
-        String good = RelayProcess.messageRequest("x1", "keyed", 7, 1000, "hello");
+        String validRequest = RelayProcess.messageRequest("x1", "keyed", 7, 1000, "hello");
         assertEquals(400, relay.submit("x2", "nosuch", 7));
         assertEquals(400, relay.submit("x3", "safe", 99));
-        assertEquals(400, relay.exchange(good.replace("dest=7", "dest=")).status());
-        assertEquals(400, relay.exchange(good.replace("dest=7", "dest=99999999999")).status());
-        assertEquals(400, relay.exchange(good.replace("Idempotency-Key: key-x1\r\n", "")).status());
-        assertEquals(400, relay.exchange(good.replace("X-Call-Id: x1\r\n", "")).status());
-        assertEquals(400, relay.exchange(good.replace("Budget-Ms: 1000", "Budget-Ms: -1")).status());
-        assertEquals(400, relay.exchange(good.replace("acme", "nobody")).status());
+        assertEquals(400, relay.exchange(validRequest.replace("dest=7", "dest=")).status());
+        assertEquals(400, relay.exchange(validRequest.replace("dest=7", "dest=99999999999")).status());
+        assertEquals(400, relay.exchange(validRequest.replace("Idempotency-Key: key-x1\r\n", "")).status());
+        assertEquals(400, relay.exchange(validRequest.replace("X-Call-Id: x1\r\n", "")).status());
+        assertEquals(400, relay.exchange(validRequest.replace("Budget-Ms: 1000", "Budget-Ms: -1")).status());
+        assertEquals(400, relay.exchange(validRequest.replace("acme", "nobody")).status());
         assertEquals(413, relay.submit("x4", "safe", 7, 1000, "x".repeat((64 << 10) + 1)));
         assertEquals(404, relay.exchange("GET /nosuch HTTP/1.1\r\nHost: x\r\n\r\n").status());
         assertEquals(405, relay.exchange("GET /api HTTP/1.1\r\nHost: x\r\n\r\n").status());
@@ -63,17 +68,18 @@
     void connectionServesOneRequestAfterAnother() throws IOException {
         relay.start();
         try (Socket socket = relay.connect()) {
-            assertEquals(400, RelayProcess.exchange(socket, RelayProcess.messageRequest("o1", "no", 7, 9, "x")).status());
-            String two = RelayProcess.messageRequest("o2", "safe", 7, 20_000, "x")
+            assertEquals(400,
+                    RelayProcess.exchange(socket, RelayProcess.messageRequest("o1", "no", 7, 9, "x")).status());
+            String twoRequests = RelayProcess.messageRequest("o2", "safe", 7, 20_000, "x")
                     + RelayProcess.messageRequest("o3", "safe", 7, 20_000, "x");
-            assertEquals(202, RelayProcess.exchange(socket, two).status());
+            assertEquals(202, RelayProcess.exchange(socket, twoRequests).status());
             assertEquals(202, RelayProcess.exchange(socket, "").status());
         }
         await(() -> host.requests.size() == 2);
     }
 
     @Test
-    void messageHandedInTwiceUnderOneIdIsTakenOnOnce() throws IOException {
+    void messageSubmittedTwiceWithTheSameIdIsSentOnce() throws IOException {
         host.respondWith(request -> StubPeer.NO_RESPONSE);
         relay.start();
         assertEquals(202, relay.submit("same", "safe", 7));
@@ -85,7 +91,7 @@
     }
 
     @Test
-    void withNoRoomInTheJournalTheMessageIsRefused() throws IOException {
+    void messageIsRejectedIfTheJournalHasNoRoom() throws IOException {
         host.respondWith(request -> StubPeer.NO_RESPONSE);
         relay.limitDisk(0.1).start();
         assertEquals(202, relay.submit("r1", "safe", 7, 20_000, "x".repeat(20_000)));
@@ -93,30 +99,31 @@
     }
 
     @Test
-    void drainingHostGetsNothingNew() throws IOException {
-        try (StubPeer other = StubPeer.always(respondWithStatus(200))) {
+    void drainingHostGetsNoNewMessages() throws IOException {
+        try (StubPeer otherHost = StubPeer.always(respondWithStatus(200))) {
             relay.start();
             await(() -> discovery.requests.stream().anyMatch(r -> r.requestLine().contains("after=1&")));
             nextListUpdate.set(targetListJson(2, false, targetJson("h1", 7, "one", "terminating", host.address()),
-                    targetJson("h2", 7, "one", "in_service", other.address()),
-                    targetJson("h3", 9, "one", "in_service", other.address())));
+                    targetJson("h2", 7, "one", "in_service", otherHost.address()),
+                    targetJson("h3", 9, "one", "in_service", otherHost.address())));
             await(() -> discovery.requests.stream().anyMatch(r -> r.requestLine().contains("after=2&")));
             for (int i = 0; i < 10; i++) {
                 assertEquals(202, relay.submit("d" + i, "safe", 7));
             }
-            await(() -> other.countRequests("POST /receive") == 10);
+            await(() -> otherHost.countRequests("POST /receive") == 10);
             assertEquals(0, host.countRequests("POST"));
-            assertEquals(202, relay.submit("new", "safe", 9), "a destination that is new in the list");
+            assertEquals(202, relay.submit("new", "safe", 9), "a destination that the list update adds");
         }
     }
 
     @Test
-    void nonsenseFromDiscoveryIsSurvived() throws IOException {
+    void relaySurvivesMalformedDiscoveryResponses() throws IOException {
         relay.start();
         await(() -> discovery.requests.stream().anyMatch(r -> r.requestLine().contains("after=1&")));
         nextListUpdate.set("{\"rev\":[");
         await(() -> relay.log().contains("an answer is passed over"));
-        nextListUpdate.set(targetListJson(5, true, "{\"uid\":4}", "7", targetJson("h1", 7, "one", "asleep", host.address()),
+        nextListUpdate.set(targetListJson(5, true, "{\"uid\":4}", "7",
+                targetJson("h1", 7, "one", "asleep", host.address()),
                 targetJson("h1", 7, "one", "in_service", host.address()),
                 targetJson("h9", 9, "one", "in_service", "nosuch.example:1")));
         await(() -> discovery.requests.stream().anyMatch(r -> r.requestLine().contains("after=5&")));
@@ -125,7 +132,7 @@
     }
 
     @Test
-    void badConfigurationEndsWithOneLine() throws IOException, InterruptedException {
+    void invalidConfigurationEndsTheProcessWithOneLogLine() throws IOException, InterruptedException {
         Path config = Files.writeString(folder.resolve("bad.json"), "{\"seed\":\"zz\",\"settings\":{},\"limits\":{}}");
         for (String mode : new String[] {"serve", "nosuch"}) {
             ProcessBuilder builder = new ProcessBuilder(
--- a/src/test/java/drumdeal/relay/MalformedResponseTest.java
+++ b/src/test/java/drumdeal/relay/MalformedResponseTest.java
@@ -12,8 +12,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Answers of hosts that can't be read, don't end, or bring more than belongs to them. */
+/** Responses of hosts that can't be parsed, don't end, or are followed by bytes that do not belong to them. */
 class MalformedResponseTest extends RelayTestBase {
+    /** End of the headers and start of a body that is larger than the relay accepts. */
     private static final String OVERSIZED_BODY = "Content-Length: 3000000000\r\n\r\n" + "x".repeat(100_000);
 
     @BeforeEach
@@ -23,45 +24,49 @@
     }
 
     @Test
-    void spoiltAnswerProvesNothing() throws IOException {
-        List<String> spoilt = List.of("HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\n", "HTTP/1.1 410 X\r\n" + OVERSIZED_BODY,
+    void unsafeMessageEndsAsDeadAfterAMalformedResponse() throws IOException {
+        List<String> malformedResponses = List.of(
+                "HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\n", "HTTP/1.1 410 X\r\n" + OVERSIZED_BODY,
                 "HTTP/1.1 429 X\r\nX-Come-Back-Ms: 60000\r\nContent-Length: -1\r\n\r\n",
                 "HTTP/1.1 504 X\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                 "HTTP/1.1 404 X\r\nEndless: " + "x".repeat(20_000), "HTTP/1.1 101 X\r\n\r\n", "HTTP/1.1 ", "noise");
         relay.start();
-        for (int i = 0; i < spoilt.size(); i++) {
+        for (int i = 0; i < malformedResponses.size(); i++) {
             String id = "u" + i;
-            String text = spoilt.get(i);
-            host.respondWith(request -> text);
+            String malformedResponse = malformedResponses.get(i);
+            host.respondWith(request -> malformedResponse);
             relay.submit(id, "unsafe", 7);
             await(() -> relay.hasSentNotice(id, "dead"));
             host.respondWith(request -> respondWithStatus(200));
-            int sent = host.requests.size();
+            int requestsBefore = host.requests.size();
             relay.submit("s" + i, "safe", 7);
-            await(() -> host.requests.size() > sent && relay.readOpenMessages().isEmpty());
+            await(() -> host.requests.size() > requestsBefore && relay.readOpenMessages().isEmpty());
         }
-        assertEquals(2 * spoilt.size(), host.requests.size());
+        assertEquals(2 * malformedResponses.size(), host.requests.size());
     }
 
     @Test
-    void firstLineThatSays200IsTrueForOneMessage() throws IOException {
-        List<String> spoilt = List.of("HTTP/1.1 200 X\r\nEndless: " + "x".repeat(20_000), "HTTP/1.1 200 X\r\n" + OVERSIZED_BODY,
+    void statusLine200DeliversASingleMessageWhateverFollows() throws IOException {
+        List<String> malformedResponses = List.of(
+                "HTTP/1.1 200 X\r\nEndless: " + "x".repeat(20_000), "HTTP/1.1 200 X\r\n" + OVERSIZED_BODY,
                 "HTTP/1.1 200 X\r\nbad\u0000head\r\nContent-Length: 0\r\n\r\n",
                 "HTTP/1.1 200 X\r\nContent-Length: 1, 2\r\n\r\n", "HTTP/1.1 200 X\r\nHalf",
                 "HTTP/1.1 100 X\r\n\r\nHTTP/1.1 200 X\r\nContent-Length: 7\r\n\r\n");
         relay.start();
-        for (int i = 0; i < spoilt.size(); i++) {
-            int sent = i + 1;
-            String text = spoilt.get(i);
-            host.respondWith(request -> text);
+        for (int i = 0; i < malformedResponses.size(); i++) {
+            int requestCount = i + 1;
+            String malformedResponse = malformedResponses.get(i);
+            host.respondWith(request -> malformedResponse);
             relay.submit("u" + i, "unsafe", 7);
-            await(() -> host.requests.size() == sent && relay.readOpenMessages().isEmpty());
+            await(() -> host.requests.size() == requestCount && relay.readOpenMessages().isEmpty());
         }
-        assertEquals(0, discovery.countRequests("POST"), "all were delivered");
+        assertEquals(0, discovery.countRequests("POST"), "no notices, as all messages count as delivered");
     }
 
     @Test
-    void answerOfManyThatCannotBeReadToItsEndCountsForNone() throws IOException {
+    void batchResponseThatCannotBeParsedToItsEndCountsForNoMessage() throws IOException {
+        // The host refuses the first call and asks for a delay of 500 ms. Both messages wait for that time and are then
+        // sent in one call.
         host.respondWith(request -> request.requestLine().contains("many")
                 ? respondWith(200, "[{\"id\":\"b1\",\"state\":\"busy\"},{\"id\":\"b2\",\"state\":\"busy\"},7]")
                 : host.requests.size() == 1 ? respondWithStatus(503, "X-Come-Back-Ms: 500") : StubPeer.NO_RESPONSE);
@@ -73,7 +78,7 @@
     }
 
     @Test
-    void answersAheadOfTheAnswerAreSkipped() throws IOException {
+    void informationalResponsesAreSkipped() throws IOException {
         host.respondWith(request -> "HTTP/1.1 102 X\r\n\r\nHTTP/1.1 103 X\r\nLink: a\r\n\r\n"
                 + respondWithStatus(host.requests.size() == 1 ? 503 : 200));
         relay.start().submit("u1", "unsafe", 7);
@@ -83,16 +88,18 @@
     }
 
     @Test
-    void whatComesBehindAnAnswerIsNotTakenForTheNextOne() throws IOException {
+    void bytesAfterAResponseAreNotTakenForTheNextResponse() throws IOException {
         relay.start();
-        for (String behind : List.of(respondWithStatus(200), "\u0001\u0002" + respondWithStatus(200), "noise\r\n\r\n" + respondWithStatus(200))) {
-            host.respondWith(request -> respondWithStatus(200) + behind);
-            long sent = host.countRequests("POST");
-            relay.submit("first" + sent, "unsafe", 7);
-            await(() -> host.countRequests("POST") > sent && relay.readOpenMessages().isEmpty());
-            host.respondWith(request -> request.requestLine().startsWith("POST") ? StubPeer.CLOSE_CONNECTION : respondWithStatus(200));
-            relay.submit("next" + sent, "unsafe", 7);
-            await(() -> relay.hasSentNotice("next" + sent, "dead"));
+        for (String extraBytes : List.of(respondWithStatus(200), "\u0001\u0002" + respondWithStatus(200),
+                "noise\r\n\r\n" + respondWithStatus(200))) {
+            host.respondWith(request -> respondWithStatus(200) + extraBytes);
+            long requestsBefore = host.countRequests("POST");
+            relay.submit("first" + requestsBefore, "unsafe", 7);
+            await(() -> host.countRequests("POST") > requestsBefore && relay.readOpenMessages().isEmpty());
+            host.respondWith(request -> request.requestLine().startsWith("POST")
+                    ? StubPeer.CLOSE_CONNECTION : respondWithStatus(200));
+            relay.submit("next" + requestsBefore, "unsafe", 7);
+            await(() -> relay.hasSentNotice("next" + requestsBefore, "dead"));
         }
         assertTrue(relay.isAlive());
     }
--- a/src/test/java/drumdeal/relay/PipelinedRequestsTest.java
+++ b/src/test/java/drumdeal/relay/PipelinedRequestsTest.java
@@ -14,20 +14,25 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A client that sends hundreds of requests at once, on an event loop whose steps the test takes. */
+/**
+ * A client that sends hundreds of requests at once. The relay must not handle them in one go: all other clients, and
+ * the timers that are due, would wait meanwhile. The test itself runs the tasks of the event loop.
+ */
 class PipelinedRequestsTest {
     private static final int REQUEST_COUNT = 400;
     private static final String RESPONSE = "answer";
     private static final String FLUSH = "flush";
     private static final String OTHER_TASK = "other";
 
+    /** The responses and flushes of the client's channel and the other task, in the order in which they happened. */
     private final List<String> events = new ArrayList<>();
 
+    /** Adds each response and each flush to the events. */
     private final class WriteRecorder extends ChannelOutboundHandlerAdapter {
         @Override
-        public void write(ChannelHandlerContext ctx, Object bytes, ChannelPromise promise) {
+        public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
             events.add(RESPONSE);
-            ctx.write(bytes, promise);
+            ctx.write(message, promise);
         }
 
         @Override
@@ -39,7 +44,7 @@
 
     private EmbeddedChannel createClientChannel() {
         Clock clock = new Clock();
-        ClientServer server = new ClientServer(null, clock, new EventLoopMonitor(null, clock, span -> { }), 10);
+        ClientServer server = new ClientServer(null, clock, new EventLoopMonitor(null, clock, stallMicros -> { }), 10);
         EmbeddedChannel channel = new EmbeddedChannel(new WriteRecorder());
         channel.pipeline().addLast(new ClientConnection(server, null, clock).handlers());
         channel.pipeline().fireChannelActive();
@@ -51,7 +56,7 @@
     }
 
     @Test
-    void requestsThatComeAtOnceLeaveTurnsToOthers() {
+    void pipelinedRequestsLetOtherTasksRunInBetween() {
         EmbeddedChannel client = createClientChannel();
         client.eventLoop().schedule(() -> events.add(OTHER_TASK), 0, TimeUnit.MILLISECONDS);
         client.writeInbound(Unpooled.copiedBuffer("GET /nosuch HTTP/1.1\r\nHost: x\r\n\r\n".repeat(REQUEST_COUNT),
@@ -59,7 +64,7 @@
         client.runPendingTasks();
         assertEquals(REQUEST_COUNT, countEvents(RESPONSE));
         assertTrue(events.subList(0, events.indexOf(OTHER_TASK)).stream().filter(RESPONSE::equals).count() <= 16,
-                "answers before the others' turn: " + events.indexOf(OTHER_TASK));
-        assertTrue(countEvents(FLUSH) <= REQUEST_COUNT / 4, "writes to the network: " + countEvents(FLUSH));
+                "events before the other task: " + events.indexOf(OTHER_TASK));
+        assertTrue(countEvents(FLUSH) <= REQUEST_COUNT / 4, "flushes: " + countEvents(FLUSH));
     }
 }
--- a/src/test/java/drumdeal/relay/RaceConditionTest.java
+++ b/src/test/java/drumdeal/relay/RaceConditionTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Events that cross: signals, the ends of connections, and requests on their way. */
+/** Races between end signals, closing connections and requests in transit. */
 class RaceConditionTest extends RelayTestBase {
     private static final String READY_REQUEST = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
@@ -30,14 +30,15 @@
     }
 
     @Test
-    void signalBeforeClientsCouldComeEndsTheStart() throws IOException, InterruptedException {
+    void endSignalBeforeTheRelayListensAbortsItsStart() throws IOException, InterruptedException {
         Files.createDirectories(relay.stateFolder());
-        // Another process of this relay, which says nothing: the start waits for it.
-        try (FileChannel owner = FileChannel.open(relay.stateFolder().resolve("owner.lock"), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE); FileLock held = owner.lock();
-                ServerSocketChannel silent = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-            assertTrue(held.isValid());
-            silent.bind(Handover.socketAddress(relay.stateFolder()));
+        // Stands for another process of this relay that accepts no connection: the start waits for it.
+        try (FileChannel lockFile = FileChannel.open(relay.stateFolder().resolve("owner.lock"),
+                StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                FileLock lock = lockFile.lock();
+                ServerSocketChannel handoverSocket = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+            assertTrue(lock.isValid());
+            handoverSocket.bind(Handover.socketAddress(relay.stateFolder()));
             relay.startWithoutWaiting();
             await(() -> relay.log().contains("operators at"));
             relay.terminate();
@@ -48,29 +49,30 @@
     }
 
     @Test
-    void requestThatIsNeverWholeIsRefusedBeforeAPlannedEnd() throws IOException, InterruptedException {
+    void requestThatIsNeverCompletedIsRejectedBeforeAGracefulStopEnds() throws IOException, InterruptedException {
         relay.start();
-        try (Socket half = relay.connect()) {
+        try (Socket incomplete = relay.connect()) {
             String message = messageRequest("half", "safe", 7, 20_000, "hello");
-            half.getOutputStream().write(message.substring(0, message.length() - 1).getBytes());
+            incomplete.getOutputStream().write(message.substring(0, message.length() - 1).getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
-            // Each piece begins the wait for the next one anew; the last byte never comes.
-            RelayProcess.Response answer = RelayProcess.exchange(half, "");
-            assertTrue(answer.status() == 503 || answer.status() == 408, answer.head());
+            // The last byte never arrives. The request is rejected by its own timeout (408) or by the stop (503).
+            RelayProcess.Response response = RelayProcess.exchange(incomplete, "");
+            assertTrue(response.status() == 503 || response.status() == 408, response.head());
         }
         assertTrue(relay.waitForExit());
         assertFalse(host.hasReceived("half"));
     }
 
     @Test
-    void requestBegunLateIsRefusedBeforeAPlannedEnd() throws IOException, InterruptedException {
+    void requestBegunDuringAGracefulStopIsRejectedBeforeTheStopEnds() throws IOException, InterruptedException {
         relay.start();
-        try (Socket busy = relay.connect()) {
-            busy.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
+        try (Socket early = relay.connect()) {
+            early.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
-            // Its own time would end 2.5 s from connecting, after the process.
+            // The early request keeps the process alive. The late one comes so late that its own timeout, 2.5 s from
+            // connecting, would end after the process has exited.
             Thread.sleep(1500);
             try (Socket late = relay.connect()) {
                 late.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
@@ -81,15 +83,15 @@
     }
 
     @Test
-    void secondSignalChangesNothingForARequestThatWasBegun() throws IOException, InterruptedException {
+    void secondEndSignalDoesNotAffectAnIncompleteRequest() throws IOException, InterruptedException {
         relay.start();
         String message = messageRequest("twice", "safe", 7, 20_000, "hello");
-        try (Socket begun = relay.connect()) {
-            begun.getOutputStream().write(message.substring(0, message.length() - 1).getBytes());
+        try (Socket incomplete = relay.connect()) {
+            incomplete.getOutputStream().write(message.substring(0, message.length() - 1).getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
             relay.terminate();
-            assertEquals(202, RelayProcess.exchange(begun, message.substring(message.length() - 1)).status());
+            assertEquals(202, RelayProcess.exchange(incomplete, message.substring(message.length() - 1)).status());
         }
         assertTrue(relay.waitForExit());
         relay.start();
@@ -98,27 +100,27 @@
     }
 
     @Test
-    void requestThatCrossesTheEndOfItsConnectionMeetsAnEndAndNoReset() throws IOException, InterruptedException {
+    void requestSentWhileItsConnectionClosesMeetsAnOrderlyEndAndNoReset() throws IOException, InterruptedException {
         relay.start();
-        try (Socket unfinished = relay.connect(); Socket kept = relay.connect()) {
-            unfinished.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
-            assertEquals(200, RelayProcess.exchange(kept, READY_REQUEST).status());
+        try (Socket incomplete = relay.connect(); Socket idle = relay.connect()) {
+            incomplete.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
+            assertEquals(200, RelayProcess.exchange(idle, READY_REQUEST).status());
             relay.terminate();
-            assertEquals(-1, kept.getInputStream().read());
-            kept.getOutputStream().write(messageRequest("crossing", "safe", 7, 20_000, "hello").getBytes());
-            // After a reset this would be an exception.
-            kept.getOutputStream().write('x');
+            assertEquals(-1, idle.getInputStream().read());
+            idle.getOutputStream().write(messageRequest("crossing", "safe", 7, 20_000, "hello").getBytes());
+            // Fails with an exception if the relay has reset the connection.
+            idle.getOutputStream().write('x');
         }
         assertTrue(relay.waitForExit());
         assertFalse(host.hasReceived("crossing"));
     }
 
     @Test
-    void uploadThatGoesOnAcrossAPlannedEndIsRefusedAndNotTakenOn() throws IOException, InterruptedException {
+    void uploadThatOutlastsAGracefulStopIsRejectedAndNotJournaled() throws IOException, InterruptedException {
         relay.start();
         try (Socket upload = relay.connect()) {
-            upload.getOutputStream().write(messageRequest("upload", "safe", 7, 20_000, "x".repeat(60_000)).substring(0, 1000)
-                    .getBytes());
+            upload.getOutputStream().write(messageRequest("upload", "safe", 7, 20_000, "x".repeat(60_000))
+                    .substring(0, 1000).getBytes());
             relay.terminate();
             await(() -> relay.log().contains("clients are sent away"));
             while (upload.getInputStream().available() == 0) {
@@ -135,28 +137,29 @@
     }
 
     @Test
-    void signalRightBehindNewSettingsLeavesWhatIsHeldToTheNextProcess() throws IOException, InterruptedException {
-        // Longer than the process will be there.
+    void endSignalRightAfterAReloadLeavesOpenMessagesToTheNextProcess() throws IOException, InterruptedException {
+        // The retry delay ends only after the process has exited.
         host.respondWith(request -> respondWithStatus(429, "X-Come-Back-Ms: 6000"));
         relay.start();
         assertEquals(202, relay.submit("held", "unsafe", 7));
-        await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream()).anyMatch(a -> a.result != null));
-        try (StubPeer elsewhere = RelayProcess.discoveryWithoutChanges()) {
-            relay.moveDiscovery(elsewhere);
+        await(() -> relay.readOpenMessages().stream().flatMap(m -> m.attempts.stream())
+                .anyMatch(a -> a.result != null));
+        try (StubPeer newDiscovery = RelayProcess.discoveryWithoutChanges()) {
+            relay.moveDiscovery(newDiscovery);
             relay.terminate();
             assertTrue(relay.waitForExit());
-            long before = countCalls("held");
+            long callsBefore = countCalls("held");
             host.respondWith(request -> respondWithStatus(200));
             relay.start();
             await(() -> relay.readOpenMessages().isEmpty());
-            assertEquals(before + 1, countCalls("held"));
-            assertEquals(0, elsewhere.countRequests("POST /status"));
+            assertEquals(callsBefore + 1, countCalls("held"));
+            assertEquals(0, newDiscovery.countRequests("POST /status"));
         }
         assertFalse(relay.hasSentNotice("held", "dead") || relay.hasSentNotice("held", "bounced"));
     }
 
     @Test
-    void signalDuringAHandoverLeavesWhatIsHeldToTheNextProcess() throws IOException, InterruptedException {
+    void endSignalDuringAHandoverLeavesOpenMessagesToTheNextProcess() throws IOException, InterruptedException {
         relay.start();
         try (SocketChannel successor = SocketChannel.open(Handover.socketAddress(relay.stateFolder()))) {
             UpgradeTest.requestHandover(successor);
@@ -165,18 +168,19 @@
             relay.terminate();
             assertTrue(relay.waitForExit());
         }
-        // Whether it was still told that the other process is gone is open; then it may have sent it already.
+        // The successor never listens. So the relay may have resumed its decisions before it exited, and may have sent
+        // the message itself.
         relay.start();
         await(() -> countCalls("between") == 1 && relay.readOpenMessages().isEmpty());
     }
 
     @Test
-    void hostsThatHangThroughASignalAndTwoKillsGetNothingTwiceThatMayNotBeRepeated()
+    void hangingHostGetsUnsafeMessagesOnlyOnceThroughAnEndSignalAndTwoKills()
             throws IOException, InterruptedException {
         host.respondWith(request -> StubPeer.NO_RESPONSE);
         relay.start();
-        for (String type : List.of("unsafe", "safe")) {
-            assertEquals(202, relay.submit(type, type, 7));
+        for (String requestClass : List.of("unsafe", "safe")) {
+            assertEquals(202, relay.submit(requestClass, requestClass, 7));
         }
         await(() -> countCalls("unsafe") == 1 && countCalls("safe") == 1);
         relay.terminate();
@@ -185,7 +189,8 @@
         await(() -> countCalls("late") == 1);
         relay.kill();
         relay.start();
-        await(() -> relay.hasSentNotice("unsafe", "dead") && relay.hasSentNotice("late", "dead") && countCalls("safe") == 2);
+        await(() -> relay.hasSentNotice("unsafe", "dead") && relay.hasSentNotice("late", "dead")
+                && countCalls("safe") == 2);
         relay.kill();
         host.respondWith(request -> respondWithStatus(200));
         relay.start();
@@ -196,14 +201,14 @@
     }
 
     @Test
-    void requestThatCrossesTheEndOfItsRestInServiceMeetsAnEndAndIsServedWhenItComesAgain() throws IOException {
+    void requestSentWhileItsIdleConnectionTimesOutMeetsAnOrderlyEndAndIsServedWhenSentAgain() throws IOException {
         relay.start();
-        try (Socket rested = relay.connect()) {
-            assertEquals(200, RelayProcess.exchange(rested, READY_REQUEST).status());
-            assertEquals(-1, rested.getInputStream().read());
-            rested.getOutputStream().write(messageRequest("again", "safe", 7, 20_000, "hello").getBytes());
-            // After a reset this would be an exception.
-            rested.getOutputStream().write('x');
+        try (Socket idle = relay.connect()) {
+            assertEquals(200, RelayProcess.exchange(idle, READY_REQUEST).status());
+            assertEquals(-1, idle.getInputStream().read());
+            idle.getOutputStream().write(messageRequest("again", "safe", 7, 20_000, "hello").getBytes());
+            // Fails with an exception if the relay has reset the connection.
+            idle.getOutputStream().write('x');
             assertEquals(202, relay.submit("again", "safe", 7));
         }
         await(() -> countCalls("again") == 1);
@@ -211,7 +216,7 @@
     }
 
     @Test
-    void clientThatLeavesAsItsAnswerIsWrittenAndComesAgainIsServedOnceUnderTheNewId() throws IOException {
+    void messageSentAgainUnderANewIdAfterADisconnectIsDeliveredOnceUnderThatId() throws IOException {
         relay.start();
         try (Socket leaving = relay.connect()) {
             leaving.setSoLinger(true, 0);
