--- a/src/main/java/drumdeal/DeliveryState.java
+++ b/src/main/java/drumdeal/DeliveryState.java
@@ -403,8 +403,8 @@
             if (!untriedRequests.isEmpty()) {
                 return null;
             }
-            String summary = "resumed " + resumedCount + ", untried " + untriedCount
-                    + ", of these tried " + triedCount + ", given up uncalled " + (untriedCount - triedCount);
+            String summary = "resumed " + resumedCount + ", untried " + untriedCount + ", of these tried "
+                    + triedCount + ", ended without a call " + (untriedCount - triedCount);
             resumedCount = 0;
             untriedCount = 0;
             triedCount = 0;
--- a/src/main/java/drumdeal/Policy.java
+++ b/src/main/java/drumdeal/Policy.java
@@ -260,7 +260,7 @@
             boolean mayNotifyPeers, boolean mayHedge, boolean mayAdviseRetryDelay,
             long connectTimeoutMicros) {
         public Limits {
-            check(callSlots > 0, "callSlots: must be above 0");
+            check(callSlots > 0, "call-slots: must be above 0");
             check(maxOpenRequests > 0, "max-open: must be above 0");
             check(maxAttempts > 0, "send-cap: must be above 0");
         }
--- a/src/test/java/drumdeal/DeliveryPolicyTest.java
+++ b/src/test/java/drumdeal/DeliveryPolicyTest.java
@@ -202,7 +202,7 @@
     void oneFailureOpensTheCircuitOfARarelyCalledRoute() {
         relay.accept(1, "safe", 2).advance(MILLISECOND).answer(1, Result.CONNECT_FAILED)
                 .accept(2, "safe", 2).advance(SECOND);
-        assertEquals(List.of("out: c"), relay.logLines);
+        assertEquals(List.of("circuit opened: c"), relay.logLines);
         assertEquals(1, relay.sent.size());
     }
 
@@ -392,7 +392,7 @@
         }
         relay.advance(3 * SECOND).accept(9, "safe", 2).advance(900 * MILLISECOND);
         assertEquals(0, relay.countSends(9));
-        assertEquals(List.of("out: c, silent"), relay.logLines);
+        assertEquals(List.of("circuit opened: c, no answers"), relay.logLines);
     }
 
     /**
@@ -405,7 +405,7 @@
         for (int i = 0; i < 3; i++) {
             relay.answer(1, Result.FULL).advance(1500 * MILLISECOND);
         }
-        assertEquals(List.of("out: c"), relay.logLines);
+        assertEquals(List.of("circuit opened: c"), relay.logLines);
     }
 
     @Test
@@ -513,7 +513,7 @@
             relay.accept(id, "safe", 2).advance(MILLISECOND);
             relay.answer(id, id % 3 == 0 ? Result.OK : Result.ERROR);
         }
-        assertEquals(List.of("out: c"), relay.logLines);
+        assertEquals(List.of("circuit opened: c"), relay.logLines);
     }
 
     @Test
@@ -689,9 +689,9 @@
     }
 
     @Test
-    void errorForInvalidSettingsNamesTheField() {
+    void errorForInvalidSettingsNamesTheSetting() {
         var thrown = assertThrows(IllegalArgumentException.class, () -> SimulatedRelay.settings(0, 5));
-        assertTrue(thrown.getMessage().contains("callSlots"));
+        assertTrue(thrown.getMessage().contains("call-slots"));
     }
 
     /** Lets route c serve so many calls that one failure no longer opens its circuit. */
@@ -708,7 +708,7 @@
         for (int id = 1; id <= 3; id++) {
             relay.accept(id, "once", 2).advance(MILLISECOND).answer(id, Result.ERROR);
         }
-        assertEquals(List.of("out: c"), relay.logLines);
+        assertEquals(List.of("circuit opened: c"), relay.logLines);
     }
 
     /** Resumes a request to destination 1 after a restart, with its earlier attempts and 15 s to its deadline. */
--- a/src/test/java/drumdeal/ResumptionTest.java
+++ b/src/test/java/drumdeal/ResumptionTest.java
@@ -82,7 +82,7 @@
         advanceAndAnswer(9 * SECOND, 100 * MILLISECOND, Result.OK);
         assertTrue(countTried() > MESSAGE_COUNT / 2, "tried " + countTried());
         assertTrue(relay.logLines.toString().contains("resumed 40, untried 40, of these tried " + countTried()
-                + ", given up uncalled " + (MESSAGE_COUNT - countTried())), relay.logLines.toString());
+                + ", ended without a call " + (MESSAGE_COUNT - countTried())), relay.logLines.toString());
     }
 
     /**
@@ -97,7 +97,7 @@
             List.copyOf(predecessor.unanswered)
                     .forEach(sent -> predecessor.answer(sent.id(), Result.CONNECT_FAILED));
         }
-        assertTrue(predecessor.logLines.toString().contains("out: "), predecessor.logLines.toString());
+        assertTrue(predecessor.logLines.toString().contains("circuit opened: "), predecessor.logLines.toString());
         relay.now = predecessor.now;
         listRoutes(relay).runRound(
                 new Policy.LearnedStateRestored(predecessor.module().encodeLearnedState(), 0),
@@ -152,7 +152,7 @@
         resumeMessages(1, 3 * SECOND);
         advanceAndAnswer(8 * SECOND, 100 * MILLISECOND, Result.OK);
         assertEquals(0, countTried());
-        assertTrue(relay.logLines.toString().contains("given up uncalled 40"), relay.logLines.toString());
+        assertTrue(relay.logLines.toString().contains("ended without a call 40"), relay.logLines.toString());
     }
 
     /**
--- a/src/test/java/drumdeal/ShortDeadlineTest.java
+++ b/src/test/java/drumdeal/ShortDeadlineTest.java
@@ -95,12 +95,13 @@
             relay.runRound(new Policy.RequestAccepted(id++, "brief", null, "k", relay.now + DEADLINE_MICROS, 1));
             advanceAndAnswer(relay, 100 * MILLISECOND, false);
         }
-        assertTrue(relay.logLines.stream().anyMatch(line -> line.startsWith("out: a")), relay.logLines.toString());
+        assertTrue(relay.logLines.stream().anyMatch(line -> line.startsWith("circuit opened: a")),
+                relay.logLines.toString());
         assertTrue(relay.sent.size() < 60, "calls to an unresponsive route: " + relay.sent.size());
         for (int i = 0; i < 100; i++) {
             relay.runRound(new Policy.RequestAccepted(id++, "brief", null, "k", relay.now + DEADLINE_MICROS, 1));
             advanceAndAnswer(relay, 100 * MILLISECOND, true);
         }
-        assertTrue(relay.logLines.contains("serves again: a"), relay.logLines.toString());
+        assertTrue(relay.logLines.contains("circuit closed: a"), relay.logLines.toString());
     }
 }
--- a/src/test/java/drumdeal/SimulatorAdapterTest.java
+++ b/src/test/java/drumdeal/SimulatorAdapterTest.java
@@ -113,7 +113,8 @@
         assertErrorContains("line 1: batch: value n must be a whole number", "{\"t-s\":1,\"groups\":[]}");
         assertErrorContains("unknown event nonsense", batchJson(LAUNCH_MESSAGE, "[\"nonsense\",1]"));
         assertErrorContains("dropped: value 1 must be a whole number", batchJson(LAUNCH_MESSAGE, "[\"dropped\"]"));
-        assertErrorContains("callSlots", batchJson(LAUNCH_MESSAGE.replace("\"call-slots\":4", "\"call-slots\":0")));
+        assertErrorContains("call-slots: must be above 0",
+                batchJson(LAUNCH_MESSAGE.replace("\"call-slots\":4", "\"call-slots\":0")));
     }
 
     /** Checks that the adapter rejects an input with a message that contains a text. */
--- a/src/test/java/drumdeal/relay/RestartTest.java
+++ b/src/test/java/drumdeal/relay/RestartTest.java
@@ -108,7 +108,7 @@
                         RelayProcess.targetJson("h1", 7, "one", "in_service", host.address()))));
         await(() -> untried.stream().allMatch(host::hasReceived));
         await(() -> relay.log().contains("untried " + untried.size() + ", of these tried " + untried.size()
-                + ", given up uncalled 0"));
+                + ", ended without a call 0"));
     }
 
     @Test
--- a/src/test/java/drumdeal/relay/RouteStateFileTest.java
+++ b/src/test/java/drumdeal/relay/RouteStateFileTest.java
@@ -68,7 +68,7 @@
         for (int i = 0; i < 4; i++) {
             relay.submit("f" + i, "unsafe", 7);
         }
-        await(() -> relay.log().contains("out: h1"));
+        await(() -> relay.log().contains("circuit opened: h1"));
         long openedAtMillis = System.currentTimeMillis();
         await(() -> {
             try {
