--- a/src/main/java/drumdeal/relay/AcceptErrorHandler.java
+++ b/src/main/java/drumdeal/relay/AcceptErrorHandler.java
@@ -14,7 +14,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        Log.write("can't accept: " + cause);
+        Log.write("can't accept connections, accepting is paused: " + cause);
         ctx.channel().config().setAutoRead(false);
         ctx.executor().schedule(() -> ctx.channel().config().setAutoRead(true), ACCEPT_PAUSE_MILLIS,
                 TimeUnit.MILLISECONDS);
--- a/src/main/java/drumdeal/relay/Discovery.java
+++ b/src/main/java/drumdeal/relay/Discovery.java
@@ -303,7 +303,7 @@
             listReceived = true;
             return true;
         } catch (IOException | RuntimeException e) {
-            Log.write("discovery: an answer is passed over: " + e.getMessage());
+            Log.write("discovery: ignored an invalid response: " + e.getMessage());
             fullListNeeded = true;
             return false;
         }
--- a/src/main/java/drumdeal/relay/NoticeSender.java
+++ b/src/main/java/drumdeal/relay/NoticeSender.java
@@ -90,7 +90,8 @@
         boolean givenUp = status == STATUS_BAD_REQUEST && batch.size() == 1;
         if (status == STATUS_NO_CONTENT || givenUp) {
             if (givenUp) {
-                Log.write("the notice of message " + batch.get(0).content.callId() + " was not understood");
+                Log.write("the platform rejected the notice of message " + batch.get(0).content.callId()
+                        + ", it is dropped");
             }
             batchLimit = MAX_NOTICES_PER_REQUEST;
             consecutiveFailures = 0;
--- a/src/main/java/drumdeal/relay/Relay.java
+++ b/src/main/java/drumdeal/relay/Relay.java
@@ -159,7 +159,7 @@
 
     @Override
     public void resumeDecisions() {
-        Log.write("the successor is gone before it served clients, this process takes the decisions again");
+        Log.write("the successor ended before it served clients, this process takes the decisions again");
         engine.resumeDecisions();
     }
 
@@ -208,7 +208,7 @@
     @Override
     public void onConfigRejected(String reason) {
         loop.execute(() -> {
-            Log.write("the old configuration stays in force: " + reason);
+            Log.write("new configuration rejected, the current one stays in force: " + reason);
             engine.onReloadFailed();
         });
     }
@@ -228,7 +228,7 @@
         if (drainTimer == null) {
             clientServer.markUnready();
             drainTimer = loop.schedule(clientServer::drain, DRAIN_DELAY_MILLIS, TimeUnit.MILLISECONDS);
-            Log.write("clients are sent away");
+            Log.write("draining: clients are sent to other relays");
         }
     }
 
@@ -249,7 +249,7 @@
         loop.execute(() -> {
             stopDeadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STOP_TIMEOUT_MILLIS);
             if (clientServer.hasStoppedListening()) {
-                Log.write("told to end before clients could come");
+                Log.write("end signal received before the relay listened for clients");
             }
             startDraining();
             // A process that has not listened yet has served no client. It starts no attempt and ends at once, as it
--- a/src/main/java/drumdeal/relay/RouteStateFile.java
+++ b/src/main/java/drumdeal/relay/RouteStateFile.java
@@ -79,7 +79,7 @@
             if (ageMicros > MAX_AGE_MICROS || ageMicros < 0) {
                 return reportUnusable("the file is " + ageMicros / 1000 + " ms old");
             }
-            Log.write("health: as it was " + ageMicros / 1000 + " ms ago");
+            Log.write("health: restored route state from " + ageMicros / 1000 + " ms ago");
             return state;
         } catch (IOException e) {
             return reportUnusable(e.toString());
--- a/src/test/java/drumdeal/relay/InputValidationTest.java
+++ b/src/test/java/drumdeal/relay/InputValidationTest.java
@@ -121,7 +121,7 @@
         relay.start();
         await(() -> discovery.requests.stream().anyMatch(r -> r.requestLine().contains("after=1&")));
         nextListUpdate.set("{\"rev\":[");
-        await(() -> relay.log().contains("an answer is passed over"));
+        await(() -> relay.log().contains("ignored an invalid response"));
         nextListUpdate.set(targetListJson(5, true, "{\"uid\":4}", "7",
                 targetJson("h1", 7, "one", "asleep", host.address()),
                 targetJson("h1", 7, "one", "in_service", host.address()),
--- a/src/test/java/drumdeal/relay/LargeDeploymentTest.java
+++ b/src/test/java/drumdeal/relay/LargeDeploymentTest.java
@@ -88,6 +88,6 @@
         });
         relay.kill();
         relay.start();
-        assertTrue(relay.log().contains("health: as it was"), relay.log());
+        assertTrue(relay.log().contains("health: restored route state"), relay.log());
     }
 }
--- a/src/test/java/drumdeal/relay/NoticeSenderTest.java
+++ b/src/test/java/drumdeal/relay/NoticeSenderTest.java
@@ -48,6 +48,7 @@
         await(() -> discovery.requests.stream().anyMatch(r -> r.body().split("\n").length == 3));
         answerNotices(request -> respondWithStatus(request.body().contains("\"odd\"") ? 400 : 204));
         await(() -> relay.readOpenMessages().isEmpty());
-        assertTrue(relay.log().contains("the notice of message odd was not understood"), relay.log());
+        assertTrue(relay.log().contains("the platform rejected the notice of message odd, it is dropped"),
+                relay.log());
     }
 }
--- a/src/test/java/drumdeal/relay/RaceConditionTest.java
+++ b/src/test/java/drumdeal/relay/RaceConditionTest.java
@@ -44,7 +44,7 @@
             relay.terminate();
             assertTrue(relay.waitForExit());
         }
-        assertTrue(relay.log().contains("told to end before clients could come"), relay.log());
+        assertTrue(relay.log().contains("end signal received before the relay listened for clients"), relay.log());
         assertFalse(relay.log().contains("serving on"), relay.log());
     }
 
@@ -55,7 +55,7 @@
             String message = messageRequest("half", "safe", 7, 20_000, "hello");
             incomplete.getOutputStream().write(message.substring(0, message.length() - 1).getBytes());
             relay.terminate();
-            await(() -> relay.log().contains("clients are sent away"));
+            await(() -> relay.log().contains("draining: clients are sent"));
             // The last byte never arrives. The request is rejected by its own timeout (408) or by the stop (503).
             RelayProcess.Response response = RelayProcess.exchange(incomplete, "");
             assertTrue(response.status() == 503 || response.status() == 408, response.head());
@@ -70,7 +70,7 @@
         try (Socket early = relay.connect()) {
             early.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
             relay.terminate();
-            await(() -> relay.log().contains("clients are sent away"));
+            await(() -> relay.log().contains("draining: clients are sent"));
             // The early request keeps the process alive. The late one comes so late that its own timeout, 2.5 s from
             // connecting, would end after the process has exited.
             Thread.sleep(1500);
@@ -89,7 +89,7 @@
         try (Socket incomplete = relay.connect()) {
             incomplete.getOutputStream().write(message.substring(0, message.length() - 1).getBytes());
             relay.terminate();
-            await(() -> relay.log().contains("clients are sent away"));
+            await(() -> relay.log().contains("draining: clients are sent"));
             relay.terminate();
             assertEquals(202, RelayProcess.exchange(incomplete, message.substring(message.length() - 1)).status());
         }
@@ -122,7 +122,7 @@
             upload.getOutputStream().write(messageRequest("upload", "safe", 7, 20_000, "x".repeat(60_000))
                     .substring(0, 1000).getBytes());
             relay.terminate();
-            await(() -> relay.log().contains("clients are sent away"));
+            await(() -> relay.log().contains("draining: clients are sent"));
             while (upload.getInputStream().available() == 0) {
                 upload.getOutputStream().write('x');
                 Thread.sleep(20);
@@ -184,7 +184,7 @@
         }
         await(() -> countCalls("unsafe") == 1 && countCalls("safe") == 1);
         relay.terminate();
-        await(() -> relay.log().contains("clients are sent away"));
+        await(() -> relay.log().contains("draining: clients are sent"));
         assertEquals(202, relay.submit("late", "unsafe", 7));
         await(() -> countCalls("late") == 1);
         relay.kill();
--- a/src/test/java/drumdeal/relay/ReloadTest.java
+++ b/src/test/java/drumdeal/relay/ReloadTest.java
@@ -96,7 +96,7 @@
     void unreadableConfigurationLeavesTheOldOneInForce() throws IOException {
         relay.start();
         relay.reconfigure(text -> "{");
-        await(() -> relay.log().contains("the old configuration stays in force"));
+        await(() -> relay.log().contains("new configuration rejected, the current one stays in force"));
         host.respondWith(request -> StubPeer.CLOSE_CONNECTION);
         assertEquals(202, relay.submit("u2", "unsafe", 7));
         await(() -> relay.hasSentNotice("u2", "dead"));
--- a/src/test/java/drumdeal/relay/RestartTest.java
+++ b/src/test/java/drumdeal/relay/RestartTest.java
@@ -150,7 +150,7 @@
             // An incomplete request keeps the relay running until it is paused.
             unfinished.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
             relay.terminate();
-            await(() -> relay.log().contains("clients are sent away"));
+            await(() -> relay.log().contains("draining: clients are sent"));
             relay.pause();
             for (int i = 0; i < 90; i++) {
                 Socket socket = relay.connect();
--- a/src/test/java/drumdeal/relay/RouteStateFileTest.java
+++ b/src/test/java/drumdeal/relay/RouteStateFileTest.java
@@ -79,7 +79,7 @@
         });
         relay.kill();
         relay.start();
-        assertTrue(relay.log().contains("health: as it was"), relay.log());
+        assertTrue(relay.log().contains("health: restored route state"), relay.log());
         await(() -> relay.fetchStats().contains("\"members_unavailable\":1"));
     }
 }
