--- a/src/main/java/drumdeal/relay/Relay.java
+++ b/src/main/java/drumdeal/relay/Relay.java
@@ -159,7 +159,7 @@
 
     @Override
     public void resumeDecisions() {
-        Log.write("the successor ended before it served clients, this process takes the decisions again");
+        Log.write("the successor disconnected before it served clients, this process takes the decisions again");
         engine.resumeDecisions();
     }
 
