--- a/src/main/java/drumdeal/DeliveryPolicy.java
+++ b/src/main/java/drumdeal/DeliveryPolicy.java
@@ -13,9 +13,9 @@
 public final class DeliveryPolicy implements Policy {
     // Circuit breaker
 
-    /** Failures in a row that open a circuit; fewer where calls are rare, see {@link #failuresToOpen}. */
+    /** Failures in a row that open a circuit; fewer if calls are rare, see {@link #failuresToOpen}. */
     private static final int FAILURES_TO_OPEN = 3;
-    /** Calls within ten seconds for each failure that it takes to open a circuit. */
+    /** Calls within ten seconds for each failure that is required to open a circuit. */
     private static final double CALLS_PER_FAILURE = 2;
     /** Cost of a request in the choice for a trial, for each step from REPEATABLE through BY_KEY to ONCE. */
     private static final int IDEMPOTENCY_TRIAL_COST = 100;
@@ -54,7 +54,10 @@
     private static final int FAST_RESPONSE_BONUS = 20;
     /** A route with a longer expected response time gets {@link #SLOW_RESPONSE_PENALTY}. */
     private static final long SLOW_RESPONSE_MICROS = 5_000_000;
-    /** So does a route that is slower than the fastest of the routes compared by more than this factor. */
+    /**
+     * So does a route that is slower by more than this factor than the fastest of the routes compared, or
+     * than {@link #INITIAL_RESPONSE_MICROS} if that is longer.
+     */
     private static final double SLOW_RESPONSE_RATIO = 3;
     /** Penalty of a slow route. */
     private static final int SLOW_RESPONSE_PENALTY = 30;
@@ -78,10 +81,10 @@
     private static final double MAX_GROWTH_RATIO_PER_SERVED_CALL = 0.05;
     /** Most that one served call adds while the rate is regained quickly. */
     private static final double MAX_REGAIN_RATIO_PER_SERVED_CALL = 0.25;
-    /** A cut keeps at least this share of the rate, even where next to nothing is served. */
+    /** A cut to the served share of the rate keeps at least this much, even if hardly anything is served. */
     private static final double MIN_SHARE_KEPT_BY_CUT = 0.5;
     /**
-     * Lowest rate after refusals, of all relays together; also the rate of tokens where no limit is known.
+     * Lowest rate after refusals, of all relays together; also the base rate of tokens if no limit is known.
      */
     private static final double MIN_FLEET_CALLS_PER_SECOND = 3;
     /**
@@ -89,7 +92,7 @@
      * little.
      */
     private static final long MAX_GROWTH_SPAN_MICROS = 2_000_000;
-    /** Shortest time between two cuts: calls that are refused sooner were sent before the first cut. */
+    /** Shortest time between two cuts: a call refused sooner may have been sent before the first cut. */
     private static final long MIN_CUT_INTERVAL_MICROS = 500_000;
     /**
      * Pause after a call found all connections of its destination taken. It lasts for about one call, after
@@ -100,14 +103,17 @@
     private static final int MAX_CONNECTION_BACKOFF_DOUBLINGS = 4;
     /** A longer retry-after time means an outage, as it exceeds the counting window of any limit. */
     private static final long OUTAGE_RETRY_AFTER_MICROS = 2_500_000;
-    /** Refusals for so long, without one served call, are treated as an outage. */
+    /**
+     * At least {@link #FAILURES_TO_OPEN} refusals over this time, without a served call, are treated as an
+     * outage.
+     */
     private static final long OUTAGE_REFUSAL_SPAN_MICROS = 3_000_000;
 
     // Slow start after an outage
 
     /** Share that is used of the load allowed by the service rules. */
     private static final double SLOW_START_MARGIN_RATIO = 0.9;
-    /** Lowest rate of a slow start, of all relays together; it applies where nothing else is known. */
+    /** Lowest rate of a slow start, of all relays together; used if no rate is known. */
     private static final double MIN_FLEET_SLOW_START_PER_SECOND = 0.75;
     /** A listed rate that is only rough is divided by this, as it may be half too high. */
     private static final double ROUGH_RATE_DIVISOR = 1.5;
@@ -123,19 +129,22 @@
     /** Multiple of the expected response time after which a call is overdue: work varies that much. */
     private static final double OVERDUE_RATIO = 8;
     /**
-     * Share of the time until its oldest call is overdue after which a route that answers nothing counts as
-     * slow, and gets no further calls if two are in flight.
+     * A route that answers nothing counts as slow once this share of the time until its oldest call is
+     * overdue has passed. From then on it gets no further calls if two are in flight.
      */
     private static final double SUSPECTED_SILENCE_SHARE = 0.5;
     /** Shortest age at which a call is cancelled if another request wants its slot and a retry may follow. */
     private static final long MIN_CANCEL_AGE_MICROS = 1_000_000;
-    /** The same while answers get lost. */
+    /** The same while answers get lost, then also for calls that no retry may follow. */
     private static final long MIN_LOSSY_CANCEL_AGE_MICROS = 400_000;
-    /** Both ages as a multiple of the expected response time, where that is longer. */
+    /**
+     * Both ages as a multiple of the expected response time, if that is longer; {@link #OVERDUE_RATIO}
+     * applies if no retry may follow.
+     */
     private static final double CANCEL_AGE_RATIO = 5;
-    /** Shortest time-out of a trial. Waiting longer than that for an answer tells no more. */
+    /** Shortest time-out of a trial. Waiting longer for an answer reveals nothing more. */
     private static final long MIN_TRIAL_TIMEOUT_MICROS = 1_500_000;
-    /** The same as a multiple of the expected response time, where that is longer. */
+    /** The same as a multiple of the expected response time, if that is longer. */
     private static final double TRIAL_TIMEOUT_RATIO = 4;
     /**
      * Longest time-out as a share of a time limit: the longest one of all classes, or that of the request's
@@ -165,9 +174,9 @@
 
     // Restarts
 
-    /** How long before its deadline a request resumed after a restart is called whatever the pacing rate. */
+    /** How long before its deadline a resumed request is sent regardless of the pacing rate. */
     private static final long RESUMED_CALL_LEAD_MICROS = 1_000_000;
-    /** The same as a multiple of the expected response time, where that is longer. */
+    /** The same as a multiple of the expected response time, if that is longer. */
     private static final double RESUMED_CALL_LEAD_RATIO = 2;
     /** Time that a restart takes until the next process can make calls. */
     private static final long RESTART_MICROS = 3_500_000;
@@ -176,10 +185,10 @@
 
     /** How long all relays request tokens for a group after a note that coordination has started. */
     private static final long COORDINATION_MICROS = 10_000_000;
-    /** A token that has not come by then counts as lost, and the relay goes by its own pacing rate. */
+    /** A token that has not arrived after this time counts as lost; only the own pacing rate applies then. */
     private static final long TOKEN_TIMEOUT_MICROS = 8_000_000;
     /**
-     * What remains of the limit after a refusal. The cut is gentle, as a coordinator receives the refusals of
+     * Share of the limit that remains after a refusal. The cut is small, as a coordinator receives the refusals of
      * all relays.
      */
     private static final double COORDINATOR_CUT_RATIO = 0.8;
@@ -193,15 +202,15 @@
 
     // Timers and general
 
-    /** Time constant of event rates: a relay may call a destination only once in so long. */
+    /** Time constant of event rates. A relay may call a destination only once in this time. */
     private static final long RATE_TIME_CONSTANT_MICROS = DecayingRate.DEFAULT_TIME_CONSTANT_MICROS;
     /**
-     * Shortest time that a rate is taken over, as a share of its time constant. A first burst of events would
-     * otherwise pass for the usual rate.
+     * Shortest time over which a rate is computed, as a share of its time constant. A first burst of events
+     * would otherwise be taken for the usual rate.
      */
     private static final double MIN_OBSERVED_SHARE = 0.4;
     private static final long MICROS_PER_SECOND = 1_000_000;
-    /** How much longer a request may wait if others go first; used to compare what waiting costs. */
+    /** Assumed further wait of a request if others go first; used to compare what waiting costs. */
     private static final long WAITING_HORIZON_MICROS = 2_000_000;
     /** Number of the timer for whatever is due next. */
     private static final long WAKE_UP_TIMER = 1;
@@ -234,9 +243,9 @@
     private final Set<Destination> waitingDestinations = new LinkedHashSet<>();
     /** Calls in flight, oldest first; each holds a slot. */
     private final Set<Call> callsInFlight = new LinkedHashSet<>();
-    /** Calls that were in flight for long, measured by their route, and were answered after all. */
+    /** Calls that took much longer than expected of their route, and were served after all. */
     private final DecayingRate lateAnswerRate = new DecayingRate(0);
-    /** Calls that were in flight for long, measured by their route, and were never answered. */
+    /** Calls that took much longer than expected of their route, and were never answered. */
     private final DecayingRate lostAnswerRate = new DecayingRate(0);
     /** The longest time limit of all request classes. */
     private long longestTimeLimitMicros;
@@ -245,7 +254,7 @@
     private Actions actions;
     /** Requests accepted or resumed that have not ended. */
     private int openRequestCount;
-    /** Calls in flight of the process of this relay that this one replaces. They hold slots. */
+    /** Calls that the predecessor, the previous process of this relay, has in flight. They hold slots. */
     private int predecessorCallsInFlight;
     /** When the wake-up timer fires; {@code Long.MAX_VALUE} if it is not set. */
     private long wakeUpAt = Long.MAX_VALUE;
@@ -294,8 +303,8 @@
     }
 
     /**
-     * Counts the listed routes that drain, have an open circuit or asked to wait, but not those that only
-     * wait for their pacing rate or a slot.
+     * Counts the listed routes that drain, have an open or half-open circuit or asked to wait, but not those
+     * that only wait for their pacing rate or a slot.
      */
     @Override
     public int countUnavailableRoutes(long now) {
@@ -305,7 +314,7 @@
 
     /**
      * True for a note that starts coordination of a group. It allows no new call, and every relay gets it:
-     * without this check, each one would cost the work of a whole dispatch at every relay of the fleet.
+     * without this check, each one would cost a full dispatch at every relay of the fleet.
      */
     private static boolean isCoordinationStart(Event event) {
         return event instanceof PeerNote e && e.payload().length > 0
@@ -378,8 +387,8 @@
     }
 
     /**
-     * Ends a trial that the predecessor took with it. Its result will never come, and the circuit would stay
-     * half-open.
+     * Clears the mark of a trial that the predecessor started. Its result will never arrive, and the circuit
+     * would stay half-open.
      */
     private void clearPredecessorTrial(Route route) {
         if (hasPredecessorTrial(route)) {
@@ -422,9 +431,9 @@
     }
 
     /**
-     * Calls requests found at a restart shortly before their deadlines, whatever the pacing rate. Where a
-     * circuit was restored open, they go out earlier, at the rate that a cold destination bears: a fleet with
-     * many such requests would otherwise overload it with all of them at their deadlines.
+     * Sends untried resumed requests shortly before their deadlines, regardless of the pacing rate. While a
+     * circuit is open or half-open, they are sent earlier, at the rate of a slow start. Otherwise a fleet
+     * with many such requests would overload the destination with all of them at their deadlines.
      */
     private void callResumedRequests() {
         for (Request request : resumedRequests.untriedRequests.stream().filter(this::isNextForKey)
@@ -447,9 +456,9 @@
     }
 
     /**
-     * When a request found at a restart may be called at the route, whatever the pacing rate. Where a circuit
-     * is tripped, that is early, unless the class is ONCE or the group holds its share of the slots: while
-     * nothing answers, such calls hold their slots to the end.
+     * When an untried resumed request may be sent to the route, regardless of the pacing rate. If a circuit
+     * is tripped, that is at once, unless the class is ONCE or the group holds its share of the slots: while
+     * nothing answers, such calls hold their slots until they time out.
      */
     private long resumedCallAt(Request request, Route route) {
         boolean callEarly = isCircuitTripped(route) && request.requestClass.idempotency() != Idempotency.ONCE
@@ -500,8 +509,9 @@
     }
 
     /**
-     * Ends the waiting request of the least value, to make room. With its buffer full, the relay would reject
-     * requests before their value is looked at.
+     * Rejects the waiting request of the lowest value, to make room. With its buffer full, the relay would
+     * reject new requests regardless of their value. Untried resumed requests are kept, and so are those
+     * that cannot be rejected safely.
      */
     private void shedLeastValuable() {
         waitingDestinations.stream().flatMap(destination -> destination.waitingRequests.stream())
@@ -593,8 +603,7 @@
     }
 
     /**
-     * Ends requests that are out of time. One with an attempt in flight ends when that attempt reports its
-     * time-out.
+     * Ends requests that are out of time. One with an attempt in flight ends when that attempt does.
      */
     private void endExpired() {
         while (!requestsByExpiry.isEmpty() && isExpired(requestsByExpiry.first())) {
@@ -666,7 +675,7 @@
         }
     }
 
-    /** Holds back calls to the group for the time that it asked for; 0 where it asked for none. */
+    /** Holds back calls to the group for the time that it asked for; 0 if it asked for none. */
     private void applyRetryAfter(LimitGroup group, long retryAfter) {
         if (retryAfter > 0) {
             group.retryAfterUntil = Math.max(group.retryAfterUntil, now + retryAfter);
@@ -674,8 +683,8 @@
     }
 
     /**
-     * Pauses the request's key for the time that the rules ask for if the attempt may have executed
-     * unanswered.
+     * Pauses the request's key for the time that the service rules require if the attempt was not answered
+     * but may have executed.
      */
     private void pauseKeyQueueIfUncertain(Request request, Result result) {
         boolean answered = result == Result.OK || result == Result.ERROR;
@@ -753,7 +762,7 @@
         }
     }
 
-    /** Factor of slow growth since the given time, of which no more counts than one served call allows. */
+    /** Factor of slow growth since the given time, over at most {@link #MAX_GROWTH_SPAN_MICROS}. */
     private double growthFactor(long since) {
         return Math.pow(1 + PACING_GROWTH_RATIO_PER_SECOND,
                 Math.min(MAX_GROWTH_SPAN_MICROS, now - since) / (double) MICROS_PER_SECOND);
@@ -761,9 +770,9 @@
 
     /**
      * Raises the pacing rate after a served call: quickly to near the last refused rate, then slowly, but
-     * faster the longer nothing is refused. The bound for each served call is for relays that call rarely:
-     * one call would double the rate of each, and all together would exceed the limit, again and again. The
-     * price is slower growth once a limit is back.
+     * faster the longer nothing is refused. The bound for each served call is for relays that call rarely.
+     * Without it, one call could double the rate of each, and together they would exceed the limit again and
+     * again. The price is slower growth once a destination has capacity again.
      */
     private void growPacingRate(LimitGroup group) {
         double span = Math.min(MAX_GROWTH_SPAN_MICROS, now - group.pacingRateUpdatedAt)
@@ -865,8 +874,8 @@
     }
 
     /**
-     * Delays the next call after a refusal, and cuts the pacing rate unless the call was sent before the last
-     * cut.
+     * Delays the next call after a refusal. Also cuts the pacing rate, unless the call was sent before the
+     * last cut or that cut was less than {@link #MIN_CUT_INTERVAL_MICROS} ago.
      */
     private void onRefused(Call call, long retryAfter) {
         LimitGroup group = call.route.group;
@@ -883,10 +892,10 @@
     }
 
     /**
-     * Cuts the pacing rate. The first cut goes to this relay's share of the limit, where one is known; any
-     * other goes to the served part of the recent rate. Thus one refusal at each relay does not take the
-     * fleet far below the limit. Nor does the fleet stay above it, as it would if no relay went below its
-     * share while refused calls use up the limit too.
+     * Cuts the pacing rate. The first cut goes to this relay's share of the limit, if one is known, or to
+     * half the served rate if that is higher. Any other cut goes to the served part of the recent rate. Thus
+     * one refusal at each relay does not take the fleet far below the limit. Nor does the fleet stay above
+     * it, as it would if no relay went below its share while refused calls use up the limit too.
      */
     private void cutPacingRate(LimitGroup group) {
         double limit = fleetLimitPerSecond(group);
@@ -932,9 +941,9 @@
     }
 
     /**
-     * Time until the next trial. A relay tries as often as its share of the calls that a cold destination
-     * bears, as the trials of a whole fleet could keep the destination down. The price: requests wait long at
-     * a relay that calls the destination rarely.
+     * Time until the next trial: the interval between calls of a slow start, within bounds, as the trials of
+     * all relays together could keep the destination down. The price is that requests wait long at a relay
+     * that calls the destination rarely.
      */
     private long trialDelayMicros(LimitGroup group) {
         long cap = settings.fleetSize() * TRIAL_SPACING_MICROS;
@@ -965,7 +974,7 @@
         }
     }
 
-    /** Calls per second that the group takes from all relays, as reported or listed; 0 if unknown. */
+    /** Calls per second that the group accepts from all relays, as reported or listed; 0 if unknown. */
     private double fleetLimitPerSecond(LimitGroup group) {
         double listedRate = group.routes.stream().filter(r -> r.listedInService)
                 .mapToDouble(r -> r.listedRatePerSecond).max().orElse(0);
@@ -974,8 +983,8 @@
     }
 
     /**
-     * Events per second over about the rate's time constant, or since counting began if that is shorter. A
-     * relay that has just started would otherwise take the events of its first seconds for those of ten.
+     * Events per second over about the rate's time constant, or since counting began if that is shorter.
+     * Otherwise the events of a relay's first seconds would be spread over ten.
      */
     private double ratePerSecond(DecayingRate rate) {
         double span = rate.timeConstantMicros;
@@ -991,8 +1000,8 @@
 
     /**
      * Calls per second that this relay has sent: the higher of the rates over two and over ten seconds. The
-     * former leaves one call out, so a relay that calls rarely goes by ten seconds: the call just refused
-     * tells little.
+     * former leaves one call out, as the call just refused says little. Thus the rate over ten seconds
+     * applies if the relay calls rarely.
      */
     private double recentSendRate(LimitGroup group) {
         double othersShare = Math.max(0, 1 - 1 / Math.max(1, group.recentSentRate.count));
@@ -1005,8 +1014,8 @@
     }
 
     /**
-     * Share of its usual rate that a destination bears. It warms up evenly from its return, at the given
-     * time.
+     * Multiple of its usual rate that a destination may safely get. Its capacity grows linearly from its
+     * recovery at the given time.
      */
     private double slowStartFactor(long since) {
         double warmShare = (now - since) / (double) Math.max(1, settings.rules().warmUpMicros());
@@ -1014,7 +1023,7 @@
         return SLOW_START_MARGIN_RATIO * settings.rules().collapseLoadMultiple() * capacityShare;
     }
 
-    /** Calls per second that the group bears from this relay if it returned at the given time. */
+    /** Calls per second that this relay may send to the group if it recovered at the given time. */
     private double slowStartRate(LimitGroup group, long since) {
         double usualRate = Math.max(group.usualRate, fleetLimitPerSecond(group) / settings.fleetSize());
         return Math.max(MIN_FLEET_SLOW_START_PER_SECOND / settings.fleetSize(),
@@ -1033,7 +1042,7 @@
         return (long) (MICROS_PER_SECOND / rate);
     }
 
-    /** When a call is so late, measured by its route, that an answer has become unlikely. */
+    /** When a call is so late for its route that an answer has become unlikely. */
     private long overdueAt(Call call) {
         return call.sentAt + capTimeoutMicros(
                 Math.max(MIN_OVERDUE_MICROS, OVERDUE_RATIO * expectedResponseMicros(call.route)));
@@ -1041,7 +1050,8 @@
 
     /**
      * When a call may lose its slot to a waiting request. If the answer of a call is lost, it holds its slot
-     * for as long as a dozen other calls would. A second attempt gets more time, as the work may take long.
+     * for as long as a dozen other calls would. A call that no retry may follow gets more time, as the work
+     * may take long.
      */
     private long cancellableAt(Call call) {
         boolean lossy = areAnswersLost();
@@ -1061,7 +1071,7 @@
     }
 
     /**
-     * Learns whether late answers still come. A call without an answer is lost, not slow, if its route has
+     * Learns whether late answers still arrive. A call without an answer is lost, not slow, if its route has
      * answered others since. Calls that are cancelled early while answers get lost are not counted: their
      * answers might have come.
      */
@@ -1096,7 +1106,7 @@
     }
 
     /**
-     * Opens the circuit of a route that answers nothing while two calls, or one where calls are rare, are in
+     * Opens the circuit of a route that answers nothing while two calls, or one if calls are rare, are in
      * flight. Otherwise it would take three time-outs to open it.
      */
     private void openIfSilent(Route route) {
@@ -1213,8 +1223,8 @@
     }
 
     /**
-     * Draws a route that the request may go to. A retry goes to another route than the last attempt if there
-     * is one.
+     * Draws a route that the request may go to. A retry avoids the route of the last attempt if another is
+     * allowed.
      */
     private Route pickRoute(Request request, List<Route> usable) {
         List<Route> allowed = new ArrayList<>(
@@ -1225,7 +1235,11 @@
         return drawRoute(allowed);
     }
 
-    /** Draws one of the routes at random, with a probability proportional to its score. */
+    /**
+     * Draws one of the routes at random, weighted by their scores. A route whose score is more than
+     * {@link #MAX_SCORE_GAP} below the best one is left out. While slots are scarce, the expected response
+     * time counts too.
+     */
     private Route drawRoute(List<Route> candidates) {
         double fastest = candidates.stream().mapToDouble(this::expectedResponseMicros).min().orElse(0);
         double[] scores = candidates.stream().mapToDouble(route -> score(route, fastest)).toArray();
@@ -1233,7 +1247,7 @@
         double sum = 0;
         for (int i = 0; i < scores.length; i++) {
             scores[i] = scores[i] < highest - MAX_SCORE_GAP ? 0 : scores[i] + 1;
-            // Far routes would hold scarce slots while near ones serve several calls in the same time.
+            // Slow routes would hold scarce slots while fast ones serve several calls in the same time.
             scores[i] /= areSlotsScarce() ? expectedResponseMicros(candidates.get(i)) : 1;
             sum += scores[i];
         }
@@ -1293,7 +1307,7 @@
         }
     }
 
-    /** Adds the destination's next request with its route, if one can be called now. */
+    /** Adds the destination's next request with its route, if one can be sent now. */
     private void addCandidate(Destination destination, PriorityQueue<Candidate> candidates) {
         if (destination.waitingRequests.isEmpty()) {
             return;
@@ -1305,8 +1319,8 @@
         Request best = null;
         double highestLoss = -1;
         for (Request request : destination.waitingRequests) {
-            // Requests found at a restart go first, by deadline: each is to be tried, and they are older
-            // than the others.
+            // Untried resumed requests go first, by deadline: each is to be tried, and they are older than
+            // the others.
             double loss = request.resumedUntried ? Double.MAX_VALUE : lossFromWaiting(request, usable.get(0));
             boolean earlier = best != null && loss == highestLoss && request.deadline < best.deadline;
             if ((loss > highestLoss || earlier) && isNextForKey(request)
@@ -1322,7 +1336,7 @@
     }
 
     /**
-     * Value that the request loses if others go first for a while. Where requests expire, one that waits
+     * Value that the request loses if others go first for a while. If many requests expire, one that waits
      * counts as lost: always saving the oldest would deliver all of them late.
      */
     private double lossFromWaiting(Request request, Route route) {
@@ -1336,7 +1350,7 @@
     }
 
     /**
-     * False if less than half the expected response time is left. A request from before a restart is tried
+     * False if no more than half the expected response time is left. An untried resumed request is tried
      * anyway.
      */
     private boolean canBeAnsweredInTime(Request request, Route route) {
@@ -1344,8 +1358,8 @@
     }
 
     /**
-     * True if the pacing rate allows a call and, while relays use tokens, this one has a token or has waited
-     * for one in vain.
+     * True if the pacing rate allows a call and, while relays use tokens, this one has a token or its request
+     * for one has timed out.
      */
     private boolean mayCallNow(LimitGroup group) {
         return now >= group.nextCallAt && (now >= group.coordinatedUntil || now < group.tokenValidUntil
@@ -1355,8 +1369,8 @@
     /**
      * Reports to the group's coordinator, if relays may send each other notes. Each of hundreds of relays
      * sees too little of a destination to keep to a limit or to detect an outage. The coordinator, which
-     * every relay knows from the group's number, sees it all and grants tokens one at a time. A lost note or
-     * a coordinator that is down costs {@link #TOKEN_TIMEOUT_MICROS}.
+     * every relay knows from the group's number, gets all reports and grants tokens one at a time. A lost
+     * note or a coordinator that is down delays calls by {@link #TOKEN_TIMEOUT_MICROS}.
      */
     private void reportToCoordinator(LimitGroup group, PeerNoteType type) {
         if (!settings.limits().mayNotifyPeers()) {
@@ -1395,7 +1409,7 @@
         }
     }
 
-    /** Allows one call within the next second, even if a circuit is open: as its trial then. */
+    /** Allows one call within the next second. If a circuit is open, the call is its trial. */
     private void onTokenGranted(LimitGroup group, boolean trial) {
         group.tokenRequested = false;
         group.reportsTrialResult = trial;
@@ -1407,8 +1421,8 @@
 
     /**
      * Handles a note to this relay as the group's coordinator. A served call ends an outage. Any other note
-     * queues its sender for a token; refusals also lower the limit, and all relays are told to use tokens if
-     * needed.
+     * queues its sender for a token, and a refusal also lowers the limit. If needed, all relays get a note to
+     * use tokens.
      */
     private void coordinate(LimitGroup group, int fromRelay, PeerNoteType type) {
         TokenCoordinator coordinator = group.coordinator;
@@ -1434,7 +1448,7 @@
     }
 
     /**
-     * Grants the tokens that are due: for trials while the destination fails, then at the rate that it bears.
+     * Grants the tokens that are due: for trials while the destination fails, else at the token rate.
      */
     private void grantTokens(LimitGroup group) {
         TokenCoordinator coordinator = group.coordinator;
@@ -1465,7 +1479,7 @@
         return group.tokenRequested && now < group.tokenRequestedAt + TOKEN_TIMEOUT_MICROS;
     }
 
-    /** Requests a token for each group of the destination that is coordinated and has none. */
+    /** Requests a token for each coordinated group of the destination for which this relay has none. */
     private void requestTokens(Destination destination) {
         for (Route route : destination.routes.values()) {
             LimitGroup group = route.group;
@@ -1489,7 +1503,7 @@
         for (Route route : destination.routes.values()) {
             boolean groupTripped = route.group.circuit.state != CircuitState.CLOSED;
             CircuitBreaker circuit = groupTripped ? route.group.circuit : route.circuit;
-            // One dead route must not be tried again and again on behalf of its whole group.
+            // One failed route must not get the trials of its whole group again and again.
             boolean hasBetter = groupTripped && route.group.routes.stream().anyMatch(r -> r.listedInService
                     && r.circuit.consecutiveFailures < route.circuit.consecutiveFailures);
             if (isInService(route) && !hasBetter && isReadyForTrial(circuit)
@@ -1523,8 +1537,8 @@
     }
 
     /**
-     * Rank of a request for a trial: lowest for the one that loses least if the attempt fails. Among equals,
-     * each past attempt counts 1.
+     * Rank of a request for a trial: lowest for the one that loses least if the attempt fails. Each past
+     * attempt adds 1.
      */
     private static int trialCost(Request request) {
         int cost = request.requestClass.idempotency().ordinal() * IDEMPOTENCY_TRIAL_COST
@@ -1571,7 +1585,10 @@
         actions.startAttempt(request.id, call.route.name, attemptTimeoutMicros(request, call), startUntil);
     }
 
-    /** Time-out of the next attempt; 0 for the last one, which may run until the deadline. */
+    /**
+     * Time-out of the request's attempt in the call; 0 for the last attempt, which may run until the
+     * deadline.
+     */
     private long attemptTimeoutMicros(Request request, Call call) {
         boolean lastAttempt = request.requestClass.idempotency() == Idempotency.ONCE
                 || request.attempts.size() >= request.maxAttempts;
@@ -1704,8 +1721,8 @@
     }
 
     /**
-     * When the route may next be called or tried if nothing but time stands in the way; else
-     * {@code Long.MAX_VALUE}.
+     * When the route may next be called or get a trial, if it must wait for that; {@code Long.MAX_VALUE} if
+     * no waiting time is running.
      */
     private long usableOrTrialAt(Route route) {
         LimitGroup group = route.group;
