--- a/src/main/java/drumdeal/DeliveryState.java
+++ b/src/main/java/drumdeal/DeliveryState.java
@@ -42,7 +42,7 @@
         HALF_OPEN
     }
 
-    /** The circuit breaker of a route or of a whole limit group. */
+    /** The circuit breaker of a route or of a limit group. */
     static final class CircuitBreaker {
         CircuitState state = CircuitState.CLOSED;
         /** Failed calls since the last served one. */
@@ -199,7 +199,7 @@
         long tokenValidUntil;
         /** Until when calls need a token of the coordinator. */
         long coordinatedUntil;
-        /** When the next call for a resumed request may go that does not wait for {@link #pacingRate}. */
+        /** When the next call that ignores {@link #pacingRate} may be made for a resumed request. */
         long nextResumedCallAt;
         /** Used only if this relay is the group's coordinator. */
         final TokenCoordinator coordinator = new TokenCoordinator();
@@ -300,11 +300,11 @@
         /** Attempts in this call that have not ended; the call is in flight while there are any. */
         int pendingAttempts;
         /**
-         * Whether the call's result has been counted for its route and group; that is done once a call,
-         * with the attempt that ends first.
+         * Whether the call's result has been counted for its route and group. That is done once for each
+         * call, with the attempt that ends first.
          */
         boolean resultRecorded;
-        /** Whether its attempts have been cancelled. */
+        /** Whether the relay has been asked to cancel its attempts. */
         boolean cancelRequested;
 
         Call(Route route, long sentAt, boolean trial) {
@@ -336,8 +336,8 @@
         final long acceptedAt;
         final long deadline;
         /**
-         * When it ends if it has not been delivered: its deadline, or earlier if no further attempt is
-         * allowed by then.
+         * When it ends if it has not been delivered: its deadline, or an earlier time from which on no
+         * further attempt is allowed.
          */
         long expiresAt;
         final Destination destination;
--- a/src/main/java/drumdeal/JsonCodec.java
+++ b/src/main/java/drumdeal/JsonCodec.java
@@ -104,8 +104,8 @@
     }
 
     /**
-     * Reads a load report, an object with the optional members {@code x0} and {@code x1}; none if the value
-     * is no object.
+     * Reads a load report, an object with the optional members {@code x0} and {@code x1};
+     * {@link Policy.LimitReport#NONE} if the value is not an object.
      */
     private static Policy.LimitReport readLimitReport(JsonReader message, int index) {
         if (!(message.value(index) instanceof Map<?, ?>)) {
@@ -148,7 +148,7 @@
 
     /**
      * Reads the settings from the object that the simulator sends as {@code launch, seed, settings} and
-     * that a relay on sockets finds as {@code settings} in its configuration. Unknown members are ignored.
+     * that a relay on sockets reads as {@code settings} in its configuration. Unknown members are ignored.
      */
     public static Policy.Settings readSettings(long seed, JsonReader settings) {
         JsonReader familyInfo = settings.object("family-info");
--- a/src/main/java/drumdeal/JsonReader.java
+++ b/src/main/java/drumdeal/JsonReader.java
@@ -13,12 +13,12 @@
  *
  * <p>Every {@code key} is the name of a member, as {@link String}, for an object, and the index of a value,
  * as {@link Integer} from 0, for an array. A member or value that does not exist reads like {@code null}.
- * All methods throw {@link JsonDataException} if a value has the wrong type.
+ * Unless stated otherwise, methods throw {@link JsonDataException} if a value has the wrong type.
  */
 public final class JsonReader {
     static final double MICROS_PER_SECOND = 1e6;
 
-    /** Where the object or array stands, for error messages. */
+    /** Location of the object or array, for error messages. */
     private final String path;
     private final Map<?, ?> members;
     private final List<?> values;
@@ -29,7 +29,7 @@
         this.values = values;
     }
 
-    /** Reads an object; {@code jsonPath} says in error messages where it stands. */
+    /** Reads an object; {@code jsonPath} is its location in error messages. */
     public static JsonReader ofObject(String jsonPath, Object json) {
         if (json instanceof Map<?, ?> members) {
             return new JsonReader(jsonPath, members, List.of());
@@ -37,7 +37,7 @@
         throw new JsonDataException(jsonPath + ": must be an object");
     }
 
-    /** Reads an array; {@code jsonPath} says in error messages where it stands. */
+    /** Reads an array; {@code jsonPath} is its location in error messages. */
     public static JsonReader ofArray(String jsonPath, Object json) {
         if (json instanceof List<?> values) {
             return new JsonReader(jsonPath, Map.of(), values);
--- a/src/main/java/drumdeal/LearnedStateCodec.java
+++ b/src/main/java/drumdeal/LearnedStateCodec.java
@@ -22,7 +22,7 @@
  * <p>Layout, in the order of {@link DataOutputStream}: the version; the number of destinations and, for
  * each, its number and its two rates; the number of limit groups and each group; the number of routes and,
  * for each, its name, error rate, response time, time of its last answer, and circuit. Other processes read
- * it, so a change needs another version.
+ * it, so a change needs a new version.
  */
 final class LearnedStateCodec {
     /** Format version, the first value. Data of another version is ignored. */
@@ -72,7 +72,7 @@
                 return;
             }
             for (int remaining = in.readInt(); remaining > 0; remaining--) {
-                // An entry that is not in the map is read all the same, into an object that is dropped.
+                // An entry that is not in the map is still read, into an object that is discarded.
                 Destination known = destinations.get(in.readInt());
                 Destination destination = known == null ? new Destination(0) : known;
                 read(in, destination.acceptedRate);
--- a/src/main/java/drumdeal/Policy.java
+++ b/src/main/java/drumdeal/Policy.java
@@ -318,7 +318,7 @@
      * @param overQuotaValue {@code over-share-worth}: factor on the value of a request beyond its tenant's
      *         quota; 1 if not set. {@link DeliveryPolicy} does not use it
      * @param lateValueHalves {@code family-info.fades}: how the value of a late delivery falls, see
-     *         {@link RequestClass}; by halves if true ({@code by_half}), else linearly
+     *         {@link RequestClass}; it halves if true ({@code by_half}), else falls linearly
      * @param mustSubscribe {@code registry-mode}: true ({@code subscribe}) if the module has to request
      *         changes of the route list by {@link Actions#setRouteListSubscription}
      * @param rateHint {@code weight-source}: how exact the rates in the route list are;
@@ -576,7 +576,7 @@
         void cancelAttempt(long id, int attempt);
 
         /**
-         * Ends a request that is not delivered. The client is told that it may safely send it again.
+         * Ends a request that is not delivered. The answer says that the client may safely send it again.
          *
          * @param id number of the request
          * @param retryIn delay after which the client should do so; 0 gives no delay
@@ -584,7 +584,7 @@
         void rejectRequest(long id, long retryIn);
 
         /**
-         * Ends a request that is not delivered. The client is not told whether it took effect.
+         * Ends a request that is not delivered. The answer does not say whether it took effect.
          *
          * @param id number of the request
          */
--- a/src/main/java/drumdeal/SimulatorAdapter.java
+++ b/src/main/java/drumdeal/SimulatorAdapter.java
@@ -26,7 +26,7 @@
  *
  * <p>The simulator sends a batch as one JSON line and waits for one JSON line in reply. A batch
  * {@code {"t-s":...,"n":...,"groups":[{"i":...,"in":[...]},...]}} has the time in seconds, its own number,
- * and for each instance its messages; a batch is one round of each instance that it launches or has events
+ * and for each instance its messages. A batch is one round of each instance that it launches or has events
  * for. The reply {@code {"n":...,"groups":[{"i":...,"cmds":[...]},...]}} has the number of the batch and
  * the commands of each instance. {@link JsonCodec} describes messages and commands.
  */
@@ -41,7 +41,7 @@
      */
     private final Map<Long, List<Policy.Event>> pendingEvents = new LinkedHashMap<>();
 
-    /** Creates an adapter that makes each instance's module by {@code factory}. */
+    /** Creates an adapter that uses {@code factory} to create the module of each instance. */
     SimulatorAdapter(Function<Policy.Settings, Policy> factory) {
         this.moduleFactory = factory;
     }
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Answers each line of {@code in} by one line on {@code out}, until the input ends.
+     * Answers each line of {@code in} with one line on {@code out}, until the input ends.
      *
      * @throws JsonDataException if a line cannot be read; its message names the line
      */
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Stores a route list, starts or ends the module of an instance, or adds an event; events without a
-     * module are ignored.
+     * Stores a route list, starts or ends the module of an instance, or adds an event. Events for an
+     * instance without a module are ignored.
      */
     private void handleMessage(long instance, JsonReader message) {
         String name = message.text(0);
