--- a/src/main/java/drumdeal/DeliveryPolicy.java
+++ b/src/main/java/drumdeal/DeliveryPolicy.java
@@ -188,8 +188,8 @@
     /** A token that has not arrived after this time counts as lost; only the own pacing rate applies then. */
     private static final long TOKEN_TIMEOUT_MICROS = 8_000_000;
     /**
-     * Share of the limit that remains after a refusal. The cut is small, as a coordinator receives the refusals of
-     * all relays.
+     * Share of the limit that remains after a refusal. The cut is small, as a coordinator receives the
+     * refusals of all relays.
      */
     private static final double COORDINATOR_CUT_RATIO = 0.8;
     /** Highest multiple of the known limit that is granted: a rough rate may be this much too low. */
