--- a/src/main/java/drumdeal/relay/NoticeSender.java
+++ b/src/main/java/drumdeal/relay/NoticeSender.java
@@ -21,15 +21,15 @@
 final class NoticeSender {
     /**
      * A message without a notice counts as lost 300 ms after its deadline. The agent usually responds at once, so a
-     * request without a response is repeated, twice within that time: it carries the notices of all messages that
-     * ended in the same moment. The time-out doubles with each further failure, so that an agent that has become slow
+     * request without a response is repeated, twice within that time: it may carry the notices of many messages that
+     * ended at the same moment. The time-out doubles with each further failure, so that an agent that has become slow
      * gets the time to respond.
      */
     private static final long INITIAL_TIMEOUT_MILLIS = 80;
     private static final long MAX_TIMEOUT_MILLIS = 640;
     /** Bounds the shift that doubles the time-out. */
     private static final int MAX_TIMEOUT_DOUBLINGS = 8;
-    /** Before a request is repeated that failed otherwise than by a time-out. */
+    /** Pause before a request is repeated that failed for another reason than a time-out. */
     private static final long RETRY_PAUSE_MILLIS = 50;
     /** Keeps a request body, with ids of up to 200 characters, within the limit of 64 KiB. */
     private static final int MAX_NOTICES_PER_REQUEST = 200;
@@ -45,7 +45,7 @@
     private final JsonFactory jsonFactory = new JsonFactory();
     /** Messages whose notice is not acknowledged yet, by their number, in the order in which they ended. */
     private final Map<Long, Message> unacknowledged = new LinkedHashMap<>();
-    /** The most notices in the next request; 1 after a request that the platform could not read. */
+    /** Limit of notices in the next request; 1 after a request that the platform could not read. */
     private int batchLimit = MAX_NOTICES_PER_REQUEST;
     /** True while a request is in flight or a retry is scheduled. */
     private boolean sending;
@@ -86,10 +86,10 @@
     }
 
     private void onResponse(List<Message> batch, int status) {
-        // A notice that the platform can't read would hold up all others, so it is dropped where it is refused alone.
-        boolean givenUp = status == STATUS_BAD_REQUEST && batch.size() == 1;
-        if (status == STATUS_NO_CONTENT || givenUp) {
-            if (givenUp) {
+        // A notice that the platform can't read would hold up all others, so it is dropped if it is rejected alone.
+        boolean dropped = status == STATUS_BAD_REQUEST && batch.size() == 1;
+        if (status == STATUS_NO_CONTENT || dropped) {
+            if (dropped) {
                 Log.write("the platform rejected the notice of message " + batch.get(0).content.callId()
                         + ", it is dropped");
             }
@@ -103,7 +103,7 @@
         if (status == STATUS_BAD_REQUEST) {
             batchLimit = 1;
         }
-        // Single losses are usual on the network and made good by the next request, so they are not logged.
+        // Single losses are usual on the network, and the next request makes up for them, so they are not logged.
         if (++consecutiveFailures % FAILURES_PER_LOG_LINE == 0) {
             Log.write(unacknowledged.size() + " notices are not acknowledged after " + consecutiveFailures
                     + " failed requests and are sent again, status " + status);
@@ -113,7 +113,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** One JSON object a line; waits are rounded up to milliseconds. */
+    /** One JSON object per line; retry delays are rounded up to milliseconds. */
     private String toJsonLines(List<Message> batch) {
         StringWriter text = new StringWriter();
         for (Message message : batch) {
