--- a/src/main/java/drumdeal/relay/Engine.java
+++ b/src/main/java/drumdeal/relay/Engine.java
@@ -29,13 +29,13 @@
      * reaches the platform in time.
      */
     private static final long OVERDUE_GRACE_MICROS = 200_000;
-    /** How long a client whose message was not accepted is to wait before it submits the message again. */
+    /** The retry delay sent to a client whose message was not accepted. */
     private static final long RETRY_AFTER_MICROS = 1_000_000;
     /** How long a request may have lain unread and still be accepted. Clients wait 400 ms for their response. */
     private static final long MAX_READ_DELAY_MICROS = 400_000;
     private static final long COUNTERS_LOG_INTERVAL_MILLIS = 2000;
     private static final long ROUTE_STATE_WRITE_INTERVAL_MILLIS = 1000;
-    /** A timer that the module does not use; its event has no effect but starts a round. */
+    /** A timer that the module does not use; its event only starts a round. */
     private static final long UNUSED_TIMER = 0;
 
     private final EventLoop loop;
@@ -57,7 +57,7 @@
     private final IntervalCounters counters = new IntervalCounters();
     private final Stats stats = new Stats();
     private Policy.Settings settings;
-    /** From the first event of a round until the round runs. */
+    /** Time from the first event of a round until the round runs. */
     private long roundDelayMicros;
     /** Events for the next round, in order of arrival. */
     private List<Event> pendingEvents = new ArrayList<>();
@@ -74,7 +74,7 @@
     private boolean newAttemptsStopped;
     /** The process that takes over from this one; null until it listens for clients. */
     private SuccessorLink successor;
-    /** Version of the last route list; -1 where there is none. */
+    /** Version of the last route list; -1 if there is none. */
     private long listVersion = -1;
     /** True once there is a route list, from discovery or from before the start. */
     private boolean ready;
@@ -117,7 +117,7 @@
         addEvent(new Policy.SettingsChanged(settings));
     }
 
-    /** The event loop has just stalled, for a time in microseconds. */
+    /** The event loop has just stalled for {@code stallMicros}. */
     void onLoopStall(long stallMicros) {
         deadlineMargin.recordStall(clock.micros(), stallMicros);
     }
@@ -156,7 +156,7 @@
         }
     }
 
-    /** Continues a message that another process accepted: its notice where its end is decided, else its delivery. */
+    /** Continues a message of another process: sends its notice if its end is decided, else continues its delivery. */
     private void resumeMessage(Message message) {
         indexMessage(message);
         if (message.nonDelivery != null) {
@@ -173,7 +173,7 @@
                 .map(attempt -> new Policy.PastAttempt(attempt.route, attempt.sentAt, attempt.result)).toList()));
     }
 
-    /** Resumes the unfinished messages of a process that has ended. This process holds the lock of the folder now. */
+    /** Resumes the unfinished messages of a process that has ended. This process now holds the lock of its folder. */
     @Override
     public void adoptFolder(StateFolder.LockedFolder lockedFolder) throws IOException {
         List<Message> unfinished = Journal.readUnfinishedMessages(lockedFolder.folder(), diskBytes);
@@ -262,7 +262,7 @@
         List.copyOf(messagesByNumber.values()).forEach(this::offerToSuccessor);
     }
 
-    /** Offers a message whose end is open, whose client has its response, and that has no attempt in flight. */
+    /** Offers a message whose end is not decided, whose client has its response, and that has no attempt in flight. */
     private void offerToSuccessor(Message message) {
         boolean transferable = message.pendingReply == null && message.nonDelivery == null && !message.finished
                 && !message.hasAttemptsInFlight();
@@ -278,7 +278,7 @@
         }
     }
 
-    /** Logs how many messages are open and what was counted since the last line; no line where both are empty. */
+    /** Logs how many messages are open and what was counted since the last line, unless both are zero. */
     private void logCounters() {
         String counts = counters.formatAndReset();
         if (openMessageCount > 0 || !counts.isEmpty()) {
@@ -293,7 +293,7 @@
         return stats.toJson(openMessageCount, hostClient.hostCount(), policy.countUnavailableRoutes(clock.micros()));
     }
 
-    /** Log text that names the destination that most messages wait for; empty where no two wait for the same one. */
+    /** Log text that names the destination that most messages wait for; empty if no two wait for the same one. */
     private String mostAwaitedDestination() {
         Map<Integer, Integer> waitingByDestination = new HashMap<>();
         for (Message message : messagesByNumber.values()) {
@@ -311,33 +311,33 @@
         return ready;
     }
 
-    /** True where this process holds no message: no delivery, response or notice is outstanding. */
+    /** True if this process holds no message: no delivery, response or notice is outstanding. */
     boolean hasNoMessages() {
         return messagesByNumber.isEmpty();
     }
 
     /**
      * Starts no more attempts. An attempt that is cut off by the end of the process may have been executed, so a
-     * message that may take effect only once could not be delivered any more. Open messages wait in the journal.
+     * message that may take effect only once could not be delivered any more. Open messages stay in the journal.
      */
     void stopNewAttempts() {
         newAttemptsStopped = true;
         addEvent(new Policy.ShutdownStarted());
     }
 
-    /** True where this process starts no more attempts. */
+    /** True if this process starts no more attempts. */
     boolean hasStoppedNewAttempts() {
         return newAttemptsStopped || decisionsSuspended;
     }
 
-    /** True where no attempt is in flight and no client of an accepted message waits for its response. */
+    /** True if no attempt is in flight and no client of an accepted message waits for its response. */
     boolean hasNothingInFlight() {
         return attemptsInFlight == 0 && acceptedThisRound.isEmpty();
     }
 
     /**
-     * The terms on which a message is accepted. Null where its class or tenant is unknown, where it lacks the
-     * idempotency key that its class needs, and where discovery has sent its list and the destination is unknown.
+     * The terms on which a message is accepted. Null if its class or tenant is unknown, if it lacks the idempotency
+     * key that its class needs, or if discovery has sent its list and the destination is unknown.
      */
     Policy.RequestTerms termsFor(Message.Content content) {
         boolean destinationMayExist = knownDestinations.contains(content.destination()) || !listReceived;
@@ -347,15 +347,16 @@
     /**
      * Accepts a message and returns it, or answers the client at once and returns null. {@code unreadSince} is the
      * earliest time at which the bytes that are read now can have arrived. The client of an accepted message is
-     * answered at the end of the round: until then its disconnection is noticed, and where the message ends in that
-     * round the client is told so in the response.
+     * answered at the end of the round. If it disconnects before that, the message is withdrawn; if the message ends
+     * in that round, the response says so.
      */
     Message acceptMessage(Message.Content content, Policy.RequestTerms terms, long unreadSince,
             Message.ClientReply reply) {
         Message existing = messagesByCallId.get(content.callId());
         if (existing != null) {
-            // A client resends a request after its connection closed before the response. The message is held
-            // already, so it is confirmed, unless its first client may still withdraw it or its end is decided.
+            // A client resends a request if its connection closed before the response. The message is accepted
+            // already, so it is confirmed, unless the first request still waits for its response, so the message may
+            // be withdrawn, or the end of the message is decided.
             if (existing.pendingReply == null && existing.nonDelivery == null && !existing.finished) {
                 reply.sendAccepted();
             } else {
@@ -363,7 +364,7 @@
             }
             return null;
         }
-        // A list from before a restart may lack a newer destination, so the client is told to retry.
+        // A list from before a restart may lack a newer destination, so the client gets a rejection and may retry.
         boolean destinationKnown = knownDestinations.contains(content.destination());
         // Rejects a request that may have lain unread too long: a relay so short of CPU can't deliver what it accepts,
         // and the client may have stopped waiting. A request that has only just arrived can be rejected too, as
@@ -435,8 +436,8 @@
         pendingEvents.add(event);
         if (!roundScheduled) {
             roundScheduled = true;
-            // A client's disconnection may have arrived and not been read yet. The round waits a whole period, so that
-            // the disconnection is read before the client would be answered.
+            // A client's disconnection may have arrived and not been read yet. The round waits for the full delay, so
+            // that the disconnection is read before the client would be answered.
             loop.schedule(this::runRound, roundDelayMicros, TimeUnit.MICROSECONDS);
         }
     }
@@ -616,8 +617,8 @@
     }
 
     /**
-     * The list counts as delivered in {@code dueInMicros}; routes that drain may be used for the drain grace after
-     * that. Half of the grace is kept in reserve, for a reload signal that was read late.
+     * A list with the current changes counts as delivered in {@code dueInMicros}. Routes that drain may be used for
+     * the drain grace after that. Half of the grace is kept in reserve for a reload signal that was read late.
      */
     @Override
     public void listStale(long dueInMicros) {
@@ -658,11 +659,11 @@
         hostClient.closeIdle(route);
     }
 
-    /** Does nothing: relay processes on sockets have no connection to each other. */
+    /** Does nothing: relays on sockets send no notes to each other. */
     @Override
     public void sendPeerNote(int relay, byte[] bytes) { }
 
-    /** Does nothing: this process follows discovery all the time. */
+    /** Does nothing: {@link Discovery} always keeps the route list up to date. */
     @Override
     public void setRouteListSubscription(boolean on) { }
 
--- a/src/main/java/drumdeal/relay/Message.java
+++ b/src/main/java/drumdeal/relay/Message.java
@@ -21,8 +21,7 @@
 
     /**
      * The end of a message that is not delivered. A rejected message may safely be submitted again, after
-     * {@code retryAfter} microseconds where that is above 0. One that is not rejected has failed and may have taken
-     * effect.
+     * {@code retryAfterMicros} if that is above 0. One that is not rejected has failed and may have taken effect.
      */
     record NonDelivery(boolean rejected, long retryAfterMicros) { }
 
@@ -33,7 +32,7 @@
         final int number;
         final String route;
         final long sentAt;
-        /** Null until the attempt has ended, and for good where the process ended first. */
+        /** Null until the attempt has ended; stays null if the process ended first. */
         Policy.Result result;
 
         private Attempt(Message message, int number, String route, long sentAt) {
@@ -47,16 +46,22 @@
     /** Number in the journal of the process that holds the message. */
     final long number;
     final Content content;
-    /** The client's deadline, up to which a delivery counts: the content's deadline plus the {@link DeadlineMargin}. */
+    /**
+     * The deadline up to which a delivery counts: the client's, which is the content's deadline plus the
+     * {@link DeadlineMargin}. For a message of another process, the content's deadline itself.
+     */
     long clientDeadline;
-    /** The terms on which the message was accepted; null where it comes from a journal record without terms. */
+    /** The terms on which the message was accepted; null if it comes from a journal record without terms. */
     final Policy.RequestTerms terms;
     final List<Attempt> attempts = new ArrayList<>();
-    /** The client that submitted the message and waits for the response; null once it has been answered or has left. */
+    /** Sends the response to the client that submitted the message; null if no client waits for it. */
     ClientReply pendingReply;
     /** Null until the message has ended undelivered. */
     NonDelivery nonDelivery;
-    /** Ends the message if the module leaves it open past its deadline; null where an earlier process has ended it. */
+    /**
+     * Ends the message if the module leaves it open past its deadline. Null until this process owns the message, and if
+     * another process has ended it.
+     */
     Future<?> overdueTimer;
     /** True once neither a delivery nor a notice is outstanding. */
     boolean finished;
@@ -95,11 +100,11 @@
         return attemptsInFlight > 0;
     }
 
-    /** Sends the response to a client that has submitted a message. One of the methods is called, once a message. */
+    /** Sends the response to a client that has submitted a message. At most one method is called, and only once. */
     interface ClientReply {
         void sendAccepted();
 
-        /** The client may submit the message again, after {@code retryAfterMicros} where that is above 0. */
+        /** The client may submit the message again, after {@code retryAfterMicros} if that is above 0. */
         void sendRejected(long retryAfterMicros);
 
         /** The message is not delivered, and may have taken effect. */
