--- a/src/main/java/drumdeal/relay/ClientConnection.java
+++ b/src/main/java/drumdeal/relay/ClientConnection.java
@@ -36,7 +36,7 @@
  * complete its request in time. Runs on the event loop.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements Message.ClientReply {
-    /** The most complete requests that wait to be handled. */
+    /** Limit of complete requests that wait to be handled. */
     private static final int MAX_PIPELINED_REQUESTS = 8;
     /** How long a client may take to send a request: the first from connecting, later ones from their first byte. */
     private static final long REQUEST_TIMEOUT_MILLIS = 2500;
@@ -57,10 +57,10 @@
     private long openedAt;
     /** The earliest time at which the client can have connected. */
     private long earliestConnectionArrival;
-    /** Earliest arrival of bytes left unread while too many requests were pipelined; MAX_VALUE where none are. */
+    /** Earliest arrival of bytes left unread while too many requests were pipelined; MAX_VALUE if none are. */
     private long readPausedSince = Long.MAX_VALUE;
     private long earliestArrivalOfLastBytes;
-    /** True while no byte of a next request has been read. */
+    /** True while no byte of the next request has been read. */
     private boolean idle = true;
     private boolean hasServedRequest;
     /** Whether the connection stays open after the response to the current request. */
@@ -70,9 +70,9 @@
     private boolean handlingPipelined;
     /** True from handling a request until its response is written. */
     private boolean responsePending;
-    /** Status of the last response where a request can't be read to its end; null otherwise. */
+    /** Status of the last response if a request is rejected before its end was read; null otherwise. */
     private HttpResponseStatus rejectionStatus;
-    /** True from writing the last response, or from closing an idle connection. */
+    /** True from writing the last response, or from shutting down an idle connection. */
     private boolean closing;
     /** Bytes of request bodies that the server counts for this connection. */
     private int bufferedBytes;
@@ -95,7 +95,7 @@
         return responsePending;
     }
 
-    /** True where no further response will be sent. */
+    /** True if no further response will be sent. */
     boolean isClosing() {
         return closing;
     }
@@ -107,8 +107,8 @@
 
     /**
      * Closes an idle connection. Reads first, as a request may have arrived since this pass of the loop read. Shuts
-     * down output only: a client whose request is on its way would otherwise see a reset, and it is entitled to an
-     * orderly end of the connection.
+     * down output only: a client whose request is on its way would otherwise see a reset instead of an orderly end of
+     * the connection.
      */
     private void closeIfIdle() {
         readNow();
@@ -244,8 +244,8 @@
     }
 
     /**
-     * Withdraws the message of a client that left before its response. It must not be delivered: the client has given
-     * it up and may submit it again under another id.
+     * Withdraws the message of a client that disconnected before its response. It must not be delivered: the client no
+     * longer waits for it and may submit it again under another id.
      */
     private void withdraw() {
         if (pendingMessage != null) {
@@ -294,7 +294,7 @@
         } else if (!partialRequest.appendBody(content.content())) {
             rejectAndClose(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         } else if (!server.tryReserveBuffer(bytes, partialRequest.bodySize())) {
-            // Bodies that are not received whole could together take all the memory.
+            // Incomplete bodies could together take all the memory.
             rejectAndClose(HttpResponseStatus.SERVICE_UNAVAILABLE);
         } else {
             bufferedBytes += bytes;
@@ -331,12 +331,12 @@
         }
     }
 
-    /** True where a complete request is not handled yet, or undecoded bytes may hold one. */
+    /** True if a complete request is not handled yet, or undecoded bytes may hold one. */
     private boolean hasUnhandledRequests() {
         return hasUndecodedBytes || !pipelined.isEmpty();
     }
 
-    /** Rejects a request without reading the rest of it, after those before it; ignores all that follows it. */
+    /** Rejects a request without reading the rest of it. Earlier requests are answered first, later ones ignored. */
     private void rejectAndClose(HttpResponseStatus status) {
         partialRequest = null;
         rejectionStatus = status;
@@ -345,8 +345,7 @@
 
     /**
      * Handles decoded requests until one has to wait for its response. The bytes held back are decoded in a later task:
-     * otherwise all other clients, and the timers of messages whose time is up, would wait for a client that sends
-     * hundreds of requests at once.
+     * otherwise all other clients and all due timers would wait for a client that sends hundreds of requests at once.
      */
     private void handlePipelined() {
         if (handlingPipelined || closing || !hasUnhandledRequests() && rejectionStatus == null) {
--- a/src/main/java/drumdeal/relay/ClientRequest.java
+++ b/src/main/java/drumdeal/relay/ClientRequest.java
@@ -35,7 +35,7 @@
         return head;
     }
 
-    /** The status with which the request is rejected because of its head alone; null where its body can be read. */
+    /** The status with which the request is rejected because of its head alone; null if its body can be read. */
     HttpResponseStatus rejectionStatus() {
         if (head.decoderResult().isFailure()) {
             return HttpResponseStatus.BAD_REQUEST;
@@ -46,7 +46,7 @@
         }
         List<String> lengths = head.headers().getAll(HttpHeaderNames.CONTENT_LENGTH);
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        // With two lengths, or a coding other than chunked, another party may see the body end elsewhere: a second
+        // With two lengths, or a coding other than chunked, another party may see the body end elsewhere, and a second
         // request could be smuggled in it.
         if (lengths.size() + codings.size() > 1
                 || codings.size() == 1 && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
@@ -57,7 +57,7 @@
                 ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE : null;
     }
 
-    /** Appends a piece of the body; false, with nothing appended, where the body would exceed its limit. */
+    /** Appends a piece of the body; returns false and appends nothing if the body would exceed its limit. */
     boolean appendBody(ByteBuf piece) {
         if (piece.readableBytes() > body.maxWritableBytes()) {
             return false;
@@ -76,7 +76,7 @@
     }
 
     /**
-     * The message that the request contains, or null where a header is missing or invalid. Its deadline counts from the
+     * The message that the request contains, or null if a header is missing or invalid. Its deadline counts from the
      * earliest time at which the request can have arrived, so time that the request lay unread is part of its budget.
      */
     Message.Content parseContent() {
--- a/src/main/java/drumdeal/relay/ClientServer.java
+++ b/src/main/java/drumdeal/relay/ClientServer.java
@@ -29,7 +29,7 @@
     static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
     /** The time left for a message, in milliseconds. */
     static final String BUDGET_HEADER = "X-Budget-Ms";
-    /** What a host reports of its load. */
+    /** A host's report of its load. */
     static final String LOAD_REPORT_HEADER = "X-Load-Report";
     private static final int MAX_LISTEN_BACKLOG = 1024;
     /** The time over which idle connections are closed when the relay drains. */
@@ -53,12 +53,12 @@
     private final Set<ClientConnection> idleConnections = new LinkedHashSet<>();
     /** Null until {@link #listen} is called. */
     private Channel serverChannel;
-    /** Earliest arrival of connections that the last pass may have left unaccepted; MAX_VALUE where it left none. */
+    /** Earliest arrival of connections that the last pass may have left unaccepted; MAX_VALUE if it left none. */
     private long unacceptedSince = Long.MAX_VALUE;
     private int bufferedBytes;
     private boolean markedUnready;
     private boolean draining;
-    /** When a client last connected, disconnected or was sent the end of its connection. */
+    /** When a client last connected or disconnected, or an idle connection was shut down. */
     private long lastConnectionChangeNanos = System.nanoTime();
 
     ClientServer(Engine engine, Clock clock, EventLoopMonitor loopMonitor, int connectionLimit) {
@@ -112,7 +112,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // The pass ended early and may have left connections, also where it accepted few.
+            // The pass ended early and may have left connections, even if it accepted few.
             unacceptedSince = earliestArrivalInPass;
             super.exceptionCaught(ctx, cause);
         }
@@ -128,7 +128,7 @@
         return loopMonitor.earliestArrival();
     }
 
-    /** Reports the relay as not ready from now on, so that clients use others. Those that come are still served. */
+    /** Reports the relay as not ready from now on, so that clients use others. New clients are still served. */
     void markUnready() {
         markedUnready = true;
     }
@@ -139,7 +139,7 @@
         draining = false;
     }
 
-    /** True unless operators or a planned end of the process keep clients away. */
+    /** True unless the relay is marked unready or drains, by operators or for a planned end of the process. */
     boolean isMarkedReady() {
         return !markedUnready && !draining;
     }
@@ -154,8 +154,9 @@
             return;
         }
         draining = true;
-        // Spread over time, so that fewer requests cross the end of their connection: a request that arrives before it
-        // is answered, with "Connection: close". Connections that are idle for longest are used least and close first.
+        // Spread over time, so that fewer requests arrive just as their connection closes. A request that arrives
+        // before that is answered, with "Connection: close". The connections idle for longest close first: they are
+        // used least.
         int position = 0;
         for (ClientConnection connection : idleConnections) {
             connection.scheduleIdleClose(IDLE_CLOSE_SPREAD_MILLIS * ++position / idleConnections.size());
@@ -166,12 +167,12 @@
         return draining;
     }
 
-    /** True where no connection is left on which a response may still be sent. */
+    /** True if no connection is left on which a response may still be sent. */
     boolean hasNoActiveClients() {
         return connections.stream().allMatch(ClientConnection::isClosing);
     }
 
-    /** As above, and for {@code millis} no client has connected, disconnected or been sent its connection's end. */
+    /** As above, and for {@code millis} no client has connected or disconnected and no idle one was shut down. */
     boolean hasNoActiveClients(long millis) {
         return hasNoActiveClients()
                 && System.nanoTime() - lastConnectionChangeNanos >= TimeUnit.MILLISECONDS.toNanos(millis);
@@ -200,7 +201,7 @@
         }
     }
 
-    /** True where no client can connect any more, and all that have connected are accepted. */
+    /** True if no client can connect, now or later, and all that have connected are accepted. */
     boolean hasStoppedListening() {
         return serverChannel == null || !serverChannel.isOpen();
     }
@@ -282,7 +283,7 @@
         connectionsAwaitingRequest.remove(connection);
     }
 
-    /** A client has been sent the end of its connection and may connect again. */
+    /** An idle connection was shut down; its client may connect again. */
     void noteConnectionChange() {
         lastConnectionChangeNanos = System.nanoTime();
     }
@@ -292,7 +293,7 @@
         idleConnections.add(connection);
     }
 
-    /** Forgets a connection; without effect where it was forgotten before. */
+    /** Forgets a connection; no effect if it is already forgotten. */
     void onConnectionClosed(ClientConnection connection) {
         lastConnectionChangeNanos = connections.remove(connection) ? System.nanoTime() : lastConnectionChangeNanos;
         connectionsAwaitingRequest.remove(connection);
@@ -300,8 +301,8 @@
     }
 
     /**
-     * Counts {@code bytes} that a connection buffers for a request whose body has {@code bodySize} bytes so far. False,
-     * with nothing counted, where the limit would be exceeded; small requests are never refused.
+     * Counts {@code bytes} that a connection buffers for a request whose body has {@code bodySize} bytes so far.
+     * Returns false and counts nothing if the limit would be exceeded; small requests are never refused.
      */
     boolean tryReserveBuffer(int bytes, int bodySize) {
         if (bufferedBytes + bytes > MAX_BUFFERED_BYTES && bodySize > MAX_SMALL_REQUEST_BYTES) {
