--- a/src/main/java/drumdeal/relay/AcceptErrorHandler.java
+++ b/src/main/java/drumdeal/relay/AcceptErrorHandler.java
@@ -7,7 +7,7 @@
 /**
  * Pauses accepting after an error of the server channel. A lack of descriptors or memory is over soon, but would end
  * the event loop if no handler took the exception: Netty then logs it, and logging opens files. Clients that connect
- * meanwhile wait until accepting goes on.
+ * meanwhile wait until accepting resumes.
  */
 class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
     private static final long ACCEPT_PAUSE_MILLIS = 50;
--- a/src/main/java/drumdeal/relay/AdminServer.java
+++ b/src/main/java/drumdeal/relay/AdminServer.java
@@ -33,10 +33,10 @@
 /**
  * HTTP server for operators, at an address of its own. It answers one request on each connection:
  * {@code GET /healthcheck} with 200 or 503, {@code GET /stats} with figures as JSON, and {@code POST /healthcheck/fail}
- * and {@code /healthcheck/ok}, which stop and resume service to clients. All requests are handled on one event loop.
+ * and {@code /healthcheck/ok}, which start and stop draining. All requests are handled on one event loop.
  */
 final class AdminServer {
-    /** Most connections at a time; {@link Config} keeps as many descriptors for them. */
+    /** Limit of open connections; {@link Config} reserves as many descriptors for them. */
     static final int MAX_CONNECTIONS = 24;
     private static final int MAX_REQUEST_BYTES = 4096;
     /** A connection is closed this long after it was accepted, whatever it has sent. */
@@ -50,10 +50,10 @@
         /** All figures as a JSON object. */
         String statsJson();
 
-        /** Announces that the relay is not ready and, after a delay, closes clients' connections as they fall idle. */
+        /** Announces that the relay is not ready and, after a delay, closes clients' connections once they are idle. */
         void startDraining();
 
-        /** Ends what {@link #startDraining} began; no effect once this process is ending or handing over. */
+        /** Reverts {@link #startDraining}; no effect once this process is ending or handing over. */
         void stopDraining();
     }
 
@@ -84,8 +84,8 @@
         private boolean answered;
 
         /**
-         * Closes the oldest connection where there is no room for another. Otherwise connections on which nothing is
-         * sent could keep operators out.
+         * Closes the oldest connection if the limit is reached. Otherwise connections on which nothing is sent could
+         * keep operators out.
          */
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
--- a/src/main/java/drumdeal/relay/Config.java
+++ b/src/main/java/drumdeal/relay/Config.java
@@ -22,7 +22,7 @@
  * Configuration of a relay, read from a JSON file and the environment at the start and at each reload.
  *
  * @param listenAddress where clients connect
- * @param adminAddress where operators connect; null where they have no address
+ * @param adminAddress where operators connect; null if there is no server for them
  * @param discoveryAddress where the discovery agent listens
  * @param stateFolder root of the files that survive the process
  * @param socketLimit file descriptors that the process may use
@@ -31,8 +31,8 @@
  * @param roundDelayMicros time from an event to the round of decisions that handles it
  * @param connectionIdleTimeoutMicros time after which a host closes an idle connection; the relay closes it earlier
  * @param usesLoadReports whether hosts report their load; probes then ask for the report
- * @param knownListVersion version of the host list known from before; -1 where none is known
- * @param knownTargets hosts of the list known from before; empty where none is known
+ * @param knownListVersion version of the host list known from before; -1 if none is known
+ * @param knownTargets hosts of the list known from before; empty if none is known
  * @param source the file as it was read
  */
 record Config(InetSocketAddress listenAddress, InetSocketAddress adminAddress, InetSocketAddress discoveryAddress,
@@ -106,7 +106,7 @@
 
     /**
      * Compares a file read later with this one. Returns the path of the first setting that the later file lacks or has
-     * with another JSON type, or null where there is none. Without this check an incomplete file that can still be
+     * with another JSON type, or null if there is none. Without this check an incomplete file that can still be
      * parsed would be accepted, and its missing optional settings would silently take their defaults.
      */
     String findMissingSetting(Config later) {
@@ -161,7 +161,7 @@
         return (int) Math.min(sockets, Integer.MAX_VALUE);
     }
 
-    /** Descriptors that a process with so many connections takes, including those for everything else. */
+    /** Descriptors that a process with this many connections takes, including those for everything else. */
     static int descriptorsFor(int connections) {
         return connections + RESERVED_DESCRIPTORS;
     }
@@ -184,7 +184,7 @@
         return value;
     }
 
-    /** Parses a numeric IPv4 address, or an IPv6 address in brackets, with its port; there is no DNS. */
+    /** Parses a numeric IPv4 address, or an IPv6 address in brackets, with its port; names are not resolved. */
     static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
--- a/src/main/java/drumdeal/relay/ConfigReloader.java
+++ b/src/main/java/drumdeal/relay/ConfigReloader.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Starts handling SIGHUP. A configuration is accepted or rejected as a whole; where it is rejected, the current one
-     * stays in force, at first {@code initialConfig}.
+     * Starts handling SIGHUP. A new configuration is accepted or rejected as a whole. If it is rejected, the current
+     * one stays in force, which is {@code initialConfig} at first.
      */
     static void reloadOnHangUp(Map<String, String> environment, Config initialConfig, Listener listener) {
         ConfigReloader reloader = new ConfigReloader(environment, initialConfig, listener);
--- a/src/main/java/drumdeal/relay/DeadlineMargin.java
+++ b/src/main/java/drumdeal/relay/DeadlineMargin.java
@@ -10,13 +10,13 @@
  */
 final class DeadlineMargin {
     /**
-     * The stall to allow for where no longer one is remembered. No setting says how long a relay may be kept from
-     * running; 19 in 20 of the stalls over 250 ms are shorter than this and the 300 ms together.
+     * The stall to allow for unless a longer one is remembered. No setting says how long a relay may be kept from
+     * running. Of the stalls over 250 ms, 19 in 20 are shorter than this plus the 300 ms.
      */
     static final long EXPECTED_STALL_MICROS = 2_000_000;
     /**
-     * The margin is at most a quarter of a message's remaining time: one that is given up before seven tenths of its
-     * time have passed is charged for.
+     * The margin is at most a quarter of a message's remaining time: a message that ends undelivered before seven
+     * tenths of its time have passed is charged for.
      */
     private static final int MIN_TIME_TO_MARGIN_RATIO = 4;
     /** How long a stall is remembered. A busy machine causes bursts of stalls, of about half a minute. */
@@ -50,7 +50,7 @@
      */
     static RequestTerms shortenDeadline(RequestTerms terms, long margin) {
         RequestClass requestClass = terms.requestClass();
-        // Where the goal is close to the deadline, the time limit stays above the goal: a class must not end before it.
+        // If the goal is close to the deadline, the time limit stays above the goal, as it must in every class.
         long timeLimit = Math.max(requestClass.goalMicros() + 1, requestClass.timeLimitMicros() - margin);
         return new RequestTerms(new RequestClass(requestClass.name(), requestClass.idempotency(),
                 requestClass.keyScope(), requestClass.dedupWindowMicros(), requestClass.goalMicros(), timeLimit,
--- a/src/main/java/drumdeal/relay/IntervalCounters.java
+++ b/src/main/java/drumdeal/relay/IntervalCounters.java
@@ -12,7 +12,7 @@
         counts.merge(name, 1, Integer::sum);
     }
 
-    /** Formats all counts for the log and resets them; empty where nothing was counted. */
+    /** Formats all counts for the log and resets them; empty if nothing was counted. */
     String formatAndReset() {
         String text = counts.entrySet().stream().map(entry -> entry.getKey() + " " + entry.getValue())
                 .collect(Collectors.joining(", "));
--- a/src/main/java/drumdeal/relay/Log.java
+++ b/src/main/java/drumdeal/relay/Log.java
@@ -14,14 +14,14 @@
 
     /** Writes one line. Text that a peer sent can't make it longer than the limit or add lines. */
     static void write(String text) {
-        // A peer could otherwise make the relay write more than the reader of the log takes.
+        // A peer could otherwise make the relay write more than the reader of the log can process.
         if (countAndCheckLimit(System.nanoTime() / NANOS_PER_SECOND)) {
             String line = text.length() > MAX_LINE_LENGTH ? text.substring(0, MAX_LINE_LENGTH) : text;
             System.err.println("drumdeal: " + line.replaceAll("\\p{Cntrl}", "?"));
         }
     }
 
-    /** Counts a line; false where the limit of the current second is exceeded. */
+    /** Counts a line; returns false if the limit of the current second is exceeded. */
     private static synchronized boolean countAndCheckLimit(long second) {
         if (second != currentSecond) {
             if (linesThisSecond > MAX_LINES_PER_SECOND) {
--- a/src/main/java/drumdeal/relay/Relay.java
+++ b/src/main/java/drumdeal/relay/Relay.java
@@ -15,7 +15,7 @@
 /** The relay: creates its components, starts them, hands over to a newer process and stops. */
 final class Relay implements AdminServer.Controls, SuccessorLink.HandoverHandler, ConfigReloader.Listener {
     // The first three delays count from the end signal; the process is killed 3.7 s after it at the earliest.
-    /** Until idle connections are closed, as clients still connect. Also used when operators drain the relay. */
+    /** Until idle connections are closed: clients still connect until then. Also used when operators drain it. */
     private static final long DRAIN_DELAY_MILLIS = 500;
     /** Until no more attempts are started, so that those in flight can end: a call takes about a second. */
     private static final long STOP_ATTEMPTS_DELAY_MILLIS = 2200;
@@ -26,7 +26,7 @@
     private static final long POLL_INTERVAL_MILLIS = 20;
     /**
      * A client that sends a request while its connection closes sends it again on a new one, so the relay stays for a
-     * while after the last client. Ending sooner brings nothing.
+     * while after the last client. Ending sooner has no benefit.
      */
     private static final long RECONNECT_GRACE_MILLIS = 500;
 
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Adopts the folders of processes that have ended. Listens for clients at once where no other process is running,
-     * else as soon as each has sent its state or does not answer.
+     * Adopts the folders of processes that have ended. Listens for clients at once if no other process is running,
+     * else as soon as each has sent its state or failed to answer.
      */
     private void takeOverFromPredecessors() {
         for (Path folder : stateFolder.otherFolders()) {
@@ -115,8 +115,9 @@
     }
 
     /**
-     * A predecessor has sent its state, or null where it has not answered. Until it has ended, the limit of descriptors
-     * holds for both processes together: half of what it uses is taken from clients, half from hosts.
+     * A predecessor has sent its state, or has not answered ({@code snapshot} is null). Until it has ended, the limit
+     * of descriptors holds for both processes together: half of what it uses is deducted from the limit for clients,
+     * half from the limit for hosts.
      */
     private void onPredecessorAnswered(HandoverSnapshot snapshot) {
         if (snapshot != null) {
@@ -181,7 +182,7 @@
         engine.onHandedOver(message);
     }
 
-    /** Ends the process once it has no client and no message. Until then the other one works with lower limits. */
+    /** Ends the process once it has no client and no message. Until then the successor works with lower limits. */
     private void exitWhenHandedOver() {
         if (clientServer.hasNoActiveClients() && engine.hasNoMessages()) {
             Log.write("all is passed on");
--- a/src/main/java/drumdeal/relay/RequestClassRegistry.java
+++ b/src/main/java/drumdeal/relay/RequestClassRegistry.java
@@ -17,10 +17,10 @@
  * changed class has to follow both the previous and the new rules.
  */
 final class RequestClassRegistry {
-    /** How long the previous terms hold besides new ones. Clients use new settings after 1.2 s. */
+    /** How long the previous terms remain valid along with new ones. Clients use new settings after 1.2 s. */
     static final long CHANGEOVER_MICROS = 1_500_000;
 
-    /** Names of the tenants; where there are none, a message may name any tenant or none. */
+    /** Names of the tenants; if there are none, a message may name any tenant or none. */
     private final Set<String> tenants = new HashSet<>();
     /** Terms by class name. */
     private Map<String, RequestTerms> currentTerms = new HashMap<>();
@@ -53,7 +53,7 @@
         return currentTerms.keySet();
     }
 
-    /** The terms for a message; null where its class or tenant is unknown, or it lacks the key that its class needs. */
+    /** The terms for a message; null if its class or tenant is unknown, or it lacks the key that its class needs. */
     RequestTerms termsFor(Message.Content content, long now) {
         if (!tenants.isEmpty() && !tenants.contains(content.tenant())) {
             return null;
@@ -66,7 +66,8 @@
                 || content.idempotencyKey() != null) {
             return terms;
         }
-        // A client that still uses the previous settings may have no key to send: its message may take effect once.
+        // A client that still uses the previous settings may have no key to send. Without a key the message may take
+        // effect at most once.
         return previous == null || previous.equals(current) ? null : new RequestTerms(
                 combineKeyRules(terms.requestClass(), Idempotency.ONCE, terms.requestClass()), terms.maxAttempts());
     }
@@ -82,7 +83,7 @@
 
     /**
      * The class {@code requestClass} with the given idempotency and with key rules that satisfy both classes: the
-     * narrowest key scope where the two differ, the shorter window, and order by key where either asks for it.
+     * narrowest key scope if the two differ, the shorter window, and order by key if either asks for it.
      */
     private static RequestClass combineKeyRules(RequestClass requestClass, Idempotency idempotency,
             RequestClass other) {
