--- a/src/main/java/drumdeal/relay/EarlyStatusDecoder.java
+++ b/src/main/java/drumdeal/relay/EarlyStatusDecoder.java
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Keeps both headers of a response that has two lengths, of which only one can be true, so that
-     * {@link HostConnection} rejects it; by default Netty removes {@code Content-Length}.
+     * Keeps both headers of a response with two lengths, of which only one can be true: {@link HostConnection} rejects
+     * it. By default Netty removes {@code Content-Length}.
      */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) { }
--- a/src/main/java/drumdeal/relay/HostCall.java
+++ b/src/main/java/drumdeal/relay/HostCall.java
@@ -49,19 +49,19 @@
     private final long startedAt;
     /**
      * The earliest deadline of the call's messages, or when a probe times out. A response to a batch that comes later
-     * is ignored: for the host the call is over by then, so "done" in the response delivers none of the other messages,
-     * and they would be lost. Some hosts also drop messages that are out of time and respond all the same.
-     * The drawback: where messages with much and with little time left share a slow call that would still be answered,
-     * the former time out together with the latter.
+     * is ignored. For the host the call is over by then, so "done" in the response does not mean that the other
+     * messages were delivered, and they would be lost. Some hosts also drop messages whose time is up and still
+     * respond. The drawback: if a slow call would still be answered, its messages with much time left time out together
+     * with those that have little.
      */
     private final long deadline;
-    /** The time from which on the request must not be sent any more. */
+    /** The request must not be sent at this time or later. */
     private final long sendDeadline;
     /** Null for a call that carries messages. */
     private final String probePath;
     /** Attempts without a result so far, in the order in which they are sent; empty for a probe. */
     private final Map<Message.Attempt, PendingAttempt> pendingAttempts = new LinkedHashMap<>();
-    /** True where the call started with more than one message. */
+    /** True if the call started with more than one message. */
     private final boolean batched;
     /** Number of messages in the request, set when it is built; 0 for a probe. */
     private int messageCount;
@@ -74,9 +74,9 @@
     private boolean probeEnded;
     private int status;
     private LimitReport loadReport = LimitReport.NONE;
-    /** Delay before the next call that the host asked for, 0 where it asked for none. */
+    /** Delay that the host asked for before the next call, 0 if none. */
     private long retryAfter;
-    /** True where the host reported that no call slot is free, which says nothing about the limit on calls a second. */
+    /** True if the host reported that no call slot is free, which says nothing about the limit on calls a second. */
     private boolean slotsTaken;
     private final ByteBuf responseBody = Unpooled.buffer(0, MAX_RESPONSE_BYTES);
 
@@ -127,7 +127,7 @@
         return startedAt;
     }
 
-    /** The time from which on the request must not be sent any more. */
+    /** The request must not be sent at this time or later. */
     long sendDeadline() {
         return sendDeadline;
     }
@@ -207,7 +207,10 @@
         return bytes.toByteArray();
     }
 
-    /** Reads the head of the response; it takes effect only when the response is complete. */
+    /**
+     * Reads the head of the response. It is evaluated when the response is complete. Attempts that end before that
+     * report its load report and retry-after delay.
+     */
     void receiveHead(HttpResponse response) {
         status = response.status().code();
         loadReport = parseLoadReport(response.headers().get(ClientServer.LOAD_REPORT_HEADER));
@@ -223,7 +226,7 @@
     }
 
     /**
-     * Ends the call after a response that is malformed or does not end: the host has run the call. {@code code} is the
+     * Ends the call after a response that is malformed or does not end: the host may have run the call. {@code code} is the
      * status if the status line could be read.
      */
     void endInvalidResponse(int code) {
@@ -256,7 +259,7 @@
             end(Result.TIMEOUT);
         } else if (batched && status == 200) {
             applyBatchOutcomes();
-            // A message that the response leaves out may have run.
+            // Attempts are left only if the response can't be parsed. Their messages may have run.
             end(Result.ERROR);
         } else if (status == 503 && retryAfter == 0 && !slotsTaken && connection.isClosedAfterFirstResponse()) {
             client.connectionRejected(host);
@@ -267,8 +270,8 @@
     }
 
     /**
-     * True if the call's time is up. The timers alone do not tell: the event loop may read a response before it runs
-     * the timers that are due.
+     * True if the call's time is up. The timers alone are not enough: the event loop may read a response before it
+     * runs the timers that are due.
      */
     private boolean isPastDeadline() {
         return client.nowMicros() >= deadline;
@@ -286,7 +289,10 @@
         }
     }
 
-    /** Ends each attempt according to its entry in the response; a response that can't be parsed ends none. */
+    /**
+     * Ends each attempt according to its entry in the response. An attempt without an entry ends as ERROR, since its
+     * message may have run. A response that can't be parsed ends no attempt.
+     */
     private void applyBatchOutcomes() {
         Map<String, String> statesByCallId = new HashMap<>();
         try (JsonParser parser = JSON.createParser(responseBody.toString(StandardCharsets.UTF_8))) {
@@ -361,8 +367,8 @@
     }
 
     /**
-     * Stops waiting for one attempt. After the last one the connection is closed too, so that the host does not count
-     * a call as in flight for which nobody waits.
+     * Stops waiting for one attempt. After the last one the connection is closed too: otherwise the host would count a
+     * call as in flight although nobody waits for it.
      */
     void abandonAttempt(Message.Attempt attempt, Result result) {
         // The response may have arrived since the event loop last read the connection.
@@ -379,7 +385,7 @@
         }
     }
 
-    /** Stops waiting for the whole call. If its request was not written completely, the host did not run it. */
+    /** Stops waiting for the call. If its request was not written completely, the host did not run it. */
     private void abandon(Result result) {
         if (connection == null) {
             end(client.removeQueuedCall(this));
@@ -394,7 +400,7 @@
         connection.abandonCall();
     }
 
-    /** Milliseconds in a header as microseconds; 0 where the header is absent or malformed. */
+    /** Milliseconds in a header as microseconds; 0 if the header is absent or malformed. */
     private static long parseRetryAfter(String text) {
         if (text == null || !text.matches("\\d{1,9}")) {
             return 0;
--- a/src/main/java/drumdeal/relay/HostClient.java
+++ b/src/main/java/drumdeal/relay/HostClient.java
@@ -43,16 +43,15 @@
     /** Receives the results of attempts and probes. */
     interface ResultListener {
         /**
-         * An attempt ended. {@code messageFinished} is true where its message needs neither another attempt nor a
-         * notice. {@code retryAfter} is the delay before the next call that the host asked for, 0 where it asked for
-         * none.
+         * An attempt ended. {@code messageFinished} is true if its message needs neither another attempt nor a notice.
+         * {@code retryAfter} is the delay that the host asked for before the next call, 0 if none.
          */
         void attemptEnded(Message.Attempt attempt, Result result, boolean messageFinished, long retryAfter,
                 LimitReport limitReport);
 
         /**
-         * A probe ended. {@code retryAfter} is the delay before the next call that the host asked for, 0 where it asked
-         * for none; {@code elapsed} is the time since the probe was started.
+         * A probe ended. {@code retryAfter} is the delay that the host asked for before the next call, 0 if none.
+         * {@code elapsed} is the time since the probe was started.
          */
         void probeEnded(String route, Result result, long retryAfter, long elapsed, LimitReport limitReport);
 
@@ -61,8 +60,8 @@
     }
 
     /**
-     * An attempt to send. {@code timeout} is how long to wait for the response, counted from the start of the
-     * call; {@code sendDeadline} is the time from which on the attempt must not be sent any more.
+     * An attempt to send. {@code timeoutMicros} is how long to wait for the response, counted from the start of the
+     * call. The attempt must not be sent at {@code sendDeadline} or later.
      */
     record OutgoingAttempt(Message.Attempt attempt, long timeoutMicros, long sendDeadline) { }
 
@@ -90,8 +89,8 @@
         /** Until this time the host counts as being at its connection limit. */
         private long connectionLimitedUntil;
         /**
-         * Incremented whenever the idle connections are closed. A connection that is about to become idle compares it,
-         * so that it is closed too.
+         * Incremented whenever the idle connections are closed. A connection that is in its reuse delay at that time
+         * detects the change and is closed too.
          */
         private int idleGeneration;
 
@@ -118,8 +117,8 @@
         }
 
         /**
-         * True if another list entry means the same address, destination and kind, so that the connections and the
-         * retry-after time remain valid.
+         * True if another list entry has the same address, destination and kind. The connections and the retry-after
+         * time then remain valid.
          */
         private boolean isSameEndpoint(Target other) {
             return target.address().equals(other.address())
@@ -137,7 +136,7 @@
     private final Clock clock;
     private final ResultListener resultListener;
     private final Bootstrap bootstrap;
-    /** True where probes ask for a load report instead of a health check. */
+    /** True if probes ask for a load report instead of a health check. */
     private boolean usesLoadReports;
     /** Upper limit of the idle time of a connection. */
     private long maxIdleMicros;
@@ -174,10 +173,10 @@
         idleTimeout = new IdleTimeout(maxIdleMicros, clock.micros());
     }
 
-    /** Applies other settings from now on; the limit on connections stays as it was at the start. */
+    /** Applies new settings. The limit on connections stays as it was at the start. */
     void applySettings(Config config) {
         usesLoadReports = config.usesLoadReports();
-        // Closes idle connections one second before the host does, or at half its idle timeout where that is later.
+        // Closes idle connections one second before the host does, or at half its idle timeout if that is later.
         // A call sent while the host closes the connection would end as RESET.
         maxIdleMicros = Math.max(config.connectionIdleTimeoutMicros() / 2,
                 config.connectionIdleTimeoutMicros() - MICROS_PER_SECOND);
@@ -416,8 +415,8 @@
      *
      * <p>The limit depends on the kind of the host, and a full host rejects only one relay of the fleet at a time.
      * Therefore one rejection counts for all hosts of the kind, and for as long as it takes until each relay of the
-     * fleet has been rejected once. The drawback: where the hosts of a kind were full only briefly, calls to them
-     * need new connections for a while.
+     * fleet has been rejected once. The drawback: if the hosts of a kind were full only briefly, calls to them need
+     * new connections for a while.
      */
     void connectionRejected(Host host) {
         long now = clock.micros();
@@ -477,8 +476,8 @@
     }
 
     /**
-     * Removes a call that was abandoned before it had a connection. The result is CONNECT_FAILED where a connect to
-     * the host is pending, so that the delay is the host's fault, else NOT_SENT.
+     * Removes a call that was abandoned before it had a connection. The result is CONNECT_FAILED if a connect to the
+     * host is pending, as the delay is then the host's fault, else NOT_SENT.
      */
     Result removeQueuedCall(HostCall call) {
         Host host = call.host();
@@ -487,8 +486,8 @@
     }
 
     /**
-     * Sends nothing for a time to any host of the destination, or to this host alone where its kind has limits per
-     * route.
+     * Sends nothing to the hosts of the destination until the delay has passed. If the kind of this host has limits
+     * per route, the delay applies to this host alone.
      */
     void applyRetryAfter(Host host, long delay) {
         host.retryAfter.blockedUntil = Math.max(host.retryAfter.blockedUntil, clock.micros() + delay);
@@ -527,7 +526,7 @@
     }
 
     /**
-     * Sets how many descriptors another process of this relay uses now, 0 where there is none. At least a quarter of
+     * Sets how many descriptors another process of this relay uses now, 0 if there is none. At least a quarter of
      * the configured connections stays available here.
      */
     void reserveDescriptors(int descriptors) {
--- a/src/main/java/drumdeal/relay/HostConnection.java
+++ b/src/main/java/drumdeal/relay/HostConnection.java
@@ -17,11 +17,11 @@
 import java.util.function.Consumer;
 
 /**
- * One connection to a host. It carries one call at a time and is reused only after a complete response that no
- * further bytes follow. Times are in microseconds on the relay's {@link Clock}, durations in microseconds.
+ * One connection to a host. It carries one call at a time and is reused only after a complete response without
+ * further bytes behind it. Times are in microseconds on the relay's {@link Clock}, durations in microseconds.
  */
 final class HostConnection extends SimpleChannelInboundHandler<HttpObject> {
-    /** Time limit for a response, from its first bytes. Hosts write a response at once: a longer one never ends. */
+    /** Time limit for a response, from its first bytes. Hosts write one at once; one that takes longer never ends. */
     private static final long MAX_RESPONSE_MICROS = 500_000;
     /**
      * Delay before a connection is reused after a response. A duplicate of the response, or stray bytes right behind
@@ -33,9 +33,9 @@
     private final HostClient.Host host;
     private final EarlyStatusDecoder decoder = new EarlyStatusDecoder();
     private ChannelHandlerContext context;
-    /** The call in progress; null where there is none. */
+    /** The call in progress; null if there is none. */
     private HostCall call;
-    /** True where the host keeps the connection open after the last response. */
+    /** True if the host keeps the connection open after the last response. */
     private boolean reusable;
     /** True while a 1xx response is read, which is not the response to the call. */
     private boolean readingInformational;
@@ -45,7 +45,7 @@
     private long idleSince;
     /** How long the connection was idle before the last call was sent; 0 for its first call. */
     private long idleBeforeCall;
-    /** Limits the time of a response, delays the reuse, or ends the idle time; null where none of these runs. */
+    /** Limits the time of a response, delays the reuse, or ends the idle time; null if none of these applies. */
     private Future<?> timer;
     /** Number of calls sent on this connection. */
     private int callCount;
@@ -97,7 +97,7 @@
         return idleSince;
     }
 
-    /** True if the host closes the connection after its response to the first call, which means that it rejects it. */
+    /** True if the host closes the connection after its response to the first call, as it does to reject a connection. */
     boolean isClosedAfterFirstResponse() {
         return callCount == 1 && !reusable;
     }
@@ -155,7 +155,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        // No call is in progress: a response that was not asked for can't be told from the next one.
+        // No call is in progress: an unexpected response can't be distinguished from the next one.
         if (call == null) {
             ctx.close();
             return;
@@ -201,7 +201,7 @@
                 && response.headers().contains(HttpHeaderNames.CONTENT_LENGTH));
     }
 
-    /** Ends a call whose response is malformed; only the status, where it could be read, counts. */
+    /** Ends a call whose response is malformed; only the status counts, if it could be read. */
     private void endInvalidResponse(HostCall endedCall) {
         endedCall.endInvalidResponse(decoder.status());
     }
@@ -220,7 +220,7 @@
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (responseComplete) {
             responseComplete = false;
-            // Bytes that arrived with the response and do not belong to it would spoil the next one.
+            // Bytes that follow the response would be read as the start of the next one.
             if (reusable && !decoder.hasLeftover()) {
                 int generation = host.idleGeneration();
                 startTimer(REUSE_DELAY_MICROS, () -> release(generation));
@@ -228,7 +228,7 @@
                 ctx.close();
             }
         } else if (call == null && decoder.hasLeftover()) {
-            // The start of a line that was not asked for: the next response would be read as the rest of it.
+            // The start of an unexpected line: the next response would be read as the rest of it.
             close();
         } else if (call != null && decoder.status() == EarlyStatusDecoder.UNREADABLE) {
             endCallAndClose(this::endInvalidResponse);
--- a/src/main/java/drumdeal/relay/IdleTimeout.java
+++ b/src/main/java/drumdeal/relay/IdleTimeout.java
@@ -10,7 +10,7 @@
 final class IdleTimeout {
     /** Shortest idle timeout. A break after this idle time or less is not attributed to the idle time. */
     static final long MIN_IDLE_MICROS = 100_000;
-    /** From this share of broken connections on, among those idle as long or longer, the idle time is at fault. */
+    /** The idle time is at fault if at least this share of the connections idle as long or longer broke. */
     private static final double BROKEN_SHARE_THRESHOLD = 0.1;
     /** Without further breaks the timeout doubles in this time. The counts of calls halve in the same time. */
     private static final double DOUBLING_MICROS = 10_000_000;
@@ -51,7 +51,7 @@
 
     /**
      * Counts a connection that broke under a call after it had been idle for {@code idleMicros}. Returns true if the
-     * timeout was reduced: to half of that idle time, or to half of the present timeout where that is shorter, but not
+     * timeout was reduced: to half of that idle time, or to half of the current timeout if that is shorter, but not
      * below {@link #MIN_IDLE_MICROS}.
      */
     boolean recordBreak(long idleMicros, long maxTimeout, long now) {
