--- a/src/main/java/drumdeal/relay/AgentClient.java
+++ b/src/main/java/drumdeal/relay/AgentClient.java
@@ -50,9 +50,9 @@
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private InetSocketAddress agentAddress;
-    /** The current connection, possibly not established yet; null where there is none. */
+    /** The current connection, possibly not established yet; null if there is none. */
     private Channel channel;
-    /** Handler of the request in flight; null where there is none. */
+    /** Handler of the request in flight; null if there is none. */
     private ResponseHandler pendingHandler;
     private Future<?> timeoutTimer;
     /** Method, path and body of the last request. */
@@ -61,7 +61,7 @@
     private String body;
     /** If the reused connection ends before this time, the request is sent again. */
     private long resendUntilNanos;
-    /** True where the request was sent on a connection that earlier requests used. */
+    /** True if the request was sent on a connection that earlier requests used. */
     private boolean connectionReused;
 
     AgentClient(EventLoop loop, InetSocketAddress agentAddress) {
@@ -148,7 +148,7 @@
         }
     }
 
-    /** Ends the request and closes its connection: a late response must not be taken for that to the next request. */
+    /** Ends the request and closes its connection: a late response must not be used for the next request. */
     private void timeOut() {
         Channel timedOutChannel = channel;
         channel = null;
--- a/src/main/java/drumdeal/relay/Discovery.java
+++ b/src/main/java/drumdeal/relay/Discovery.java
@@ -19,11 +19,11 @@
  * time. Therefore each relay calls it rarely and at random times.
  *
  * <p>Relays of a small fleet watch for changes by long polling, starting from the version known at the start. They
- * fetch the whole list only where no version is known. A change made within 200 ms after the response to a watch counts
- * as delivered to the relay that watched, whether it received the change or not. So the relay has to call again within
- * the drain grace. One change answers the watches of all relays at the same moment. If the drain grace is too short for
- * one call of each relay, the relays do not watch: each fetches the whole list from time to time, and then only what
- * the responses contained counts as delivered to it.
+ * fetch the whole list only if no version is known or the last response could not be parsed. A change made within
+ * 200 ms after the response to a watch counts as delivered to the relay that watched, whether it received the change or
+ * not. So the relay has to call again within the drain grace. One change answers the watches of all relays at the same
+ * moment. If the drain grace is too short for one call of each relay, the relays do not watch: each fetches the whole
+ * list from time to time, and then only what the responses contained counts as delivered to it.
  */
 final class Discovery {
     /**
@@ -103,13 +103,13 @@
     private final EventLoop loop;
     private final Agent agent;
     private final Listener listener;
-    /** True where this relay watches for changes, false where it fetches the whole list from time to time. */
+    /** True if this relay watches for changes, false if it fetches the whole list from time to time. */
     private boolean watchEnabled;
     /**
-     * Mean pause after a change: {@link #MAX_MEAN_PAUSE_AFTER_CHANGE_MILLIS}, or less where the drain grace is short.
+     * Mean pause after a change: {@link #MAX_MEAN_PAUSE_AFTER_CHANGE_MILLIS}, or less if the drain grace is short.
      */
     private long meanPauseAfterChangeMillis;
-    /** Longest time from the start of one fetch to the start of the next one, where the relay does not watch. */
+    /** Longest time from the start of one fetch to the start of the next one, if the relay does not watch. */
     private long maxFetchIntervalMillis;
     /** True from a change of the address until the first list from there. */
     private boolean awaitingNewAddressList;
@@ -121,7 +121,7 @@
     private long lastRequestAtNanos;
     private final SplittableRandom random;
     private final JsonFactory jsonFactory = new JsonFactory();
-    /** The version of the list in use; -1 where none is known. */
+    /** The version of the list in use; -1 if none is known. */
     private long version;
     /** Set after a response that can't be parsed: a watch from the same version would receive it again. */
     private boolean fullListNeeded;
@@ -140,7 +140,7 @@
         void moveTo(InetSocketAddress address);
     }
 
-    /** Continues from {@code knownVersion}, which is -1 where none is known. */
+    /** Continues from {@code knownVersion}, which is -1 if none is known. */
     Discovery(EventLoop loop, Agent agent, Policy.Settings settings, long knownVersion, Listener listener) {
         this.loop = loop;
         this.listener = listener;
@@ -151,7 +151,7 @@
     }
 
     /**
-     * Schedules the first call: at once where no list is known, else after a random delay. A fetch is delayed by up to
+     * Schedules the first call: at once if no list is known, else after a random delay. A fetch is delayed by up to
      * four fifths of the longest interval between fetches.
      */
     void start() {
@@ -160,9 +160,9 @@
     }
 
     /**
-     * Uses another address from now on. Its versions need not be those of the old one. The first call there comes soon,
-     * whatever pause was running, but is delayed at random where relays fetch, since the address may have changed for
-     * the whole fleet at once.
+     * Uses another address from now on. Its versions need not be those of the old one. The first call there is
+     * made soon, in place of the scheduled one. If this relay fetches, the call is delayed at random, since the address
+     * may have changed for the whole fleet at once.
      */
     void moveTo(InetSocketAddress address, Policy.Settings settings) {
         applySettings(settings);
@@ -187,8 +187,8 @@
         long fleetServiceMillis = settings.fleetSize() * MIN_SERVICE_TIME_MILLIS;
         long drainGraceMillis = TimeUnit.MICROSECONDS.toMillis(settings.rules().drainGraceMicros());
         watchEnabled = fleetServiceMillis <= drainGraceMillis;
-        // A pause lasts up to 1.5 times its mean. With half of the time that the calls of the fleet leave of the grace
-        // as the mean, it ends within the grace.
+        // Half of the drain grace that one call of each relay leaves. A pause lasts up to 1.5 times its mean, so it
+        // still ends within the grace.
         meanPauseAfterChangeMillis = Math.max(MIN_PAUSE_MILLIS,
                 Math.min(MAX_MEAN_PAUSE_AFTER_CHANGE_MILLIS, (drainGraceMillis - fleetServiceMillis) / 2));
         long requiredIntervalMillis = TimeUnit.MICROSECONDS.toMillis(settings.rules().maxDiscoveryIntervalMicros());
@@ -214,8 +214,8 @@
         long previousVersion = version;
         boolean applied = status == 200 && applyResponse(body);
         awaitingNewAddressList &= !applied;
-        // A change that was missed by a call that timed out counts as delivered soon. The first call after a timeout is
-        // made at once, which is acceptable because discovery has not rejected anything.
+        // A change that a timed-out call missed counts as delivered soon. So the first call after a timeout is made at
+        // once, which is acceptable because discovery has not rejected anything.
         long pauseMillis = !applied
                 ? status == AgentClient.TIMED_OUT && consecutiveFailures == 0 ? MIN_PAUSE_MILLIS : retryBackoffMillis()
                 : !watchEnabled ? fetchPause()
--- a/src/main/java/drumdeal/relay/Target.java
+++ b/src/main/java/drumdeal/relay/Target.java
@@ -23,7 +23,7 @@
         return targets;
     }
 
-    /** Reads one entry; throws if a member is missing or invalid. */
+    /** Reads one entry; throws if a required member is missing or any is invalid. */
     private static Target read(JsonReader entry) {
         Policy.Availability availability = switch (entry.text("state")) {
             case "in_service" -> Policy.Availability.LISTED;
