--- a/src/main/java/drumdeal/relay/Handover.java
+++ b/src/main/java/drumdeal/relay/Handover.java
@@ -23,8 +23,8 @@
  */
 final class Handover {
     /**
-     * Version of the protocol. The older process closes the connection where the newer one has another version; the
-     * newer one then serves without a snapshot, and adopts the older one's messages once that has ended.
+     * Version of the protocol. The older process closes the connection if the newer one has another version. The newer
+     * one then serves without a snapshot, and adopts the older one's messages once that process has ended.
      */
     static final int VERSION = 1;
     private static final String SOCKET_NAME = "handover.sock";
--- a/src/main/java/drumdeal/relay/HandoverSnapshot.java
+++ b/src/main/java/drumdeal/relay/HandoverSnapshot.java
@@ -11,7 +11,7 @@
  * State of the older process of a relay at the time when it suspends its decisions. The order of the fields in the
  * frame and the names of {@link Policy.Availability} in it are part of the handover protocol.
  *
- * @param listVersion version of the older process's host list; -1 where it has none
+ * @param listVersion version of the older process's host list; -1 if it has none
  * @param targets the hosts of that list
  * @param learnedState what its decision module has learned, see {@link Policy#encodeLearnedState}
  * @param callsInFlight its calls in flight, which count towards the limit that both processes share
--- a/src/main/java/drumdeal/relay/Journal.java
+++ b/src/main/java/drumdeal/relay/Journal.java
@@ -94,7 +94,7 @@
     private FileChannel segmentChannel;
     private Path segmentPath;
     private long segmentNumber;
-    /** Length of the segment up to the end of its last whole record. */
+    /** Length of the segment up to the end of its last complete record. */
     private long segmentBytes;
     /** The part of {@link #segmentBytes} that holds records of unfinished messages. */
     private long unfinishedBytes;
@@ -187,7 +187,7 @@
         compactionEnabled = !leaving;
     }
 
-    /** Gives this process the whole disk again, once no other process uses it. */
+    /** Gives this process the full disk limit again, once no other process uses it. */
     void useWholeDisk() {
         allottedBytes = diskBytes;
         compactionEnabled = true;
@@ -198,13 +198,13 @@
         otherFilesBytes = bytes;
     }
 
-    /** Disk space that the shares above refer to. */
+    /** The disk budget that the {@code _SHARE} constants refer to. */
     private long budgetBytes() {
         return allottedBytes - otherFilesBytes;
     }
 
     /**
-     * Records a message of another process, with its attempts and results. Returns false where there is no room or the
+     * Records a message of another process, with its attempts and results. Returns false if there is no room or the
      * disk fails.
      */
     boolean recordAdopted(Message message) {
@@ -226,7 +226,7 @@
         return unfinishedMessages.values().stream().map(entry -> entry.message).toList();
     }
 
-    /** Records an accepted message. Returns false where there is no room or the disk fails. */
+    /** Records an accepted message. Returns false if there is no room or the disk fails. */
     boolean recordAccepted(Message message) {
         byte[] record = encodeRecord(acceptedPayload(message));
         if (unfinishedBytes + record.length > MAX_UNFINISHED_SHARE * budgetBytes()
@@ -237,14 +237,14 @@
         return true;
     }
 
-    /** Records an attempt before its first byte is sent. Returns false where it can't be recorded. */
+    /** Records an attempt before its first byte is sent. Returns false if it can't be recorded. */
     boolean recordAttempt(Message.Attempt attempt) {
         return appendForMessage(attempt.message, attemptPayload(attempt.message, attempt), SEGMENT_SOFT_LIMIT_SHARE);
     }
 
     /**
-     * Records the result of an attempt that has ended; it matters most where the result proves that the attempt took
-     * no effect.
+     * Records the result of an attempt that has ended; it matters most if the result proves that the attempt took no
+     * effect.
      */
     void recordResult(Message.Attempt attempt) {
         appendForMessage(attempt.message, resultPayload(attempt.message, attempt), SEGMENT_HARD_LIMIT_SHARE);
@@ -255,7 +255,7 @@
         appendForMessage(message, endPayload(message), SEGMENT_HARD_LIMIT_SHARE);
     }
 
-    /** Records that nothing remains to be done for a message, and compacts the segment where that is due. */
+    /** Records that nothing remains to be done for a message, and compacts the segment if that is due. */
     void recordDone(Message message) {
         boolean recorded = appendForMessage(message, out -> {
             out.writeByte(DONE);
@@ -263,8 +263,8 @@
         }, SEGMENT_HARD_LIMIT_SHARE);
         boolean known = unfinishedMessages.containsKey(message.number);
         removeUnfinishedMessage(message.number);
-        // Without its DONE record, as on a full disk, a finished message would be resumed after a restart. Compaction
-        // leaves the message out.
+        // If the DONE record could not be written, as on a full disk, the finished message would be resumed after a
+        // restart. Compaction leaves the message out.
         boolean compactionDue = known && !recorded
                 || segmentBytes - unfinishedBytes > COMPACTION_THRESHOLD_SHARE * budgetBytes();
         if (compactionDue && compactionEnabled && System.nanoTime() - nextCompactionAtNanos >= 0) {
@@ -277,7 +277,7 @@
         segmentChannel.close();
     }
 
-    /** Appends a record of an unfinished message; false where the message is unknown or the record not written. */
+    /** Appends a record of an unfinished message; false if the message is unknown or the record can't be written. */
     private boolean appendForMessage(Message message, PayloadWriter payload, double limitShare) {
         UnfinishedMessage entry = unfinishedMessages.get(message.number);
         byte[] record = encodeRecord(payload);
@@ -305,7 +305,7 @@
     }
 
     /**
-     * Appends a whole record, or nothing where the segment would exceed {@code limitShare} of the budget or the disk
+     * Appends a complete record, or nothing if the segment would exceed {@code limitShare} of the budget or the disk
      * fails.
      */
     private boolean append(byte[] record, double limitShare) {
@@ -481,7 +481,7 @@
         }
     }
 
-    /** The payload of the next record; null at the end, and where the record is incomplete or its checksum wrong. */
+    /** The payload of the next record; null at the end, or if the record is incomplete or its checksum wrong. */
     private static byte[] readNextPayload(ByteBuffer buffer) {
         if (buffer.remaining() < RECORD_HEADER_BYTES) {
             return null;
@@ -499,7 +499,7 @@
     }
 
     /**
-     * Applies one record. An accepted message is added to the unfinished ones; any other record is ignored where its
+     * Applies one record. An accepted message is added to the unfinished ones; any other record is ignored if its
      * message is not among them.
      */
     private void replayRecord(byte[] payload) throws IOException {
@@ -534,8 +534,8 @@
     }
 
     /**
-     * Adds an attempt. Numbers are missing where an attempt could not be recorded: it was not sent, but the later ones
-     * keep their numbers. It is added as {@code NOT_SENT}.
+     * Adds an attempt. An earlier attempt that could not be recorded was not sent, but its number is not used again.
+     * An attempt that ended as {@code NOT_SENT} is added for each missing number.
      */
     private static void replayAttempt(Message message, int number, String route, long sentAt) throws IOException {
         if (number < message.attempts.size() || number > MAX_ATTEMPTS) {
--- a/src/main/java/drumdeal/relay/PredecessorLink.java
+++ b/src/main/java/drumdeal/relay/PredecessorLink.java
@@ -37,7 +37,7 @@
         void takeOwnership(Message message);
 
         /**
-         * A call of the older process has ended. {@code waitMicros} is the wait that the host asked for, 0 where none,
+         * A call of the older process has ended. {@code waitMicros} is the wait that the host asked for, 0 if none,
          * {@code elapsedMicros} the time that the call took, and {@code callsInFlight} the number of calls that the
          * older process still has in flight.
          */
@@ -55,13 +55,13 @@
     private final Runnable onPredecessorEnded;
     /** Messages stored here that the older process has not released yet, by their number in that process. */
     private final Map<Long, Message> unreleasedMessages = new HashMap<>();
-    /** Null until {@link #takeOver}, and where no connection could be attempted. */
+    /** Null until {@link #takeOver}, and after it if no connection could be attempted. */
     private Channel channel;
     private boolean readyReported;
 
     /**
      * Prepares to take over from the process that owns {@code predecessorFolder}. {@code onReady} is called once, as
-     * soon as this process may listen for clients, with the snapshot of the older one, or with null where there is
+     * soon as this process may listen for clients, with the snapshot of the older one, or with null if there is
      * none. {@code onPredecessorEnded} runs once the older process has ended and its messages are adopted.
      */
     PredecessorLink(EventLoop loop, Path predecessorFolder, TakeoverHandler handler,
@@ -106,7 +106,7 @@
         }, SNAPSHOT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Tells the older process, where connected, that this one listens for clients. */
+    /** Notifies the older process, if connected, that this one listens for clients. */
     void sendListening() {
         if (channel != null && channel.isActive()) {
             Handover.send(channel, Handover.FrameType.LISTENING, out -> { });
@@ -150,8 +150,8 @@
     }
 
     /**
-     * Takes over all messages of the older process once that has ended, which its lock shows. While it runs, it may
-     * still send a message that it has not released, and two processes would deliver the same message.
+     * Takes over all messages of the older process once it has ended and its lock is free. Before that it may still
+     * send a message that it has not released, and two processes would deliver the same message.
      */
     private void adoptOnceUnlocked() {
         try (StateFolder.LockedFolder folder = StateFolder.tryLock(predecessorFolder)) {
--- a/src/main/java/drumdeal/relay/RouteStateFile.java
+++ b/src/main/java/drumdeal/relay/RouteStateFile.java
@@ -29,8 +29,8 @@
     private RouteStateFile() { }
 
     /**
-     * Replaces the file and returns the bytes of disk to reserve for it and its next replacement; 0 where the state is
-     * too large to be written. A failure has no other effect than that the next process may start without the state.
+     * Replaces the file and returns the bytes of disk to reserve for it and its next replacement; 0 if the state is too
+     * large to be written. If writing fails, the next process may start without the state.
      */
     static long write(Path folder, byte[] state, long nowMicros, long diskLimitBytes) {
         if (HEADER_BYTES + state.length > diskLimitBytes / DISK_LIMIT_DIVISOR) {
@@ -50,7 +50,7 @@
         return 2L * (file.length + BLOCK_BYTES);
     }
 
-    /** Returns the state that the last process wrote. Where it can't be used, logs the reason and returns null. */
+    /** Returns the state that the last process wrote. If it can't be used, logs the reason and returns null. */
     static byte[] read(Path folder, long nowMicros, long diskLimitBytes) {
         try {
             Path path = folder.resolve(FILE_NAME);
--- a/src/main/java/drumdeal/relay/SuccessorLink.java
+++ b/src/main/java/drumdeal/relay/SuccessorLink.java
@@ -22,22 +22,22 @@
  */
 final class SuccessorLink {
     /**
-     * How long after the snapshot a newer process must listen for clients. If it does not, its connection is closed and
-     * this process resumes its decisions.
+     * How long a newer process may take from the snapshot until it listens for clients. If it takes longer, its
+     * connection is closed and this process resumes its decisions.
      */
     private static final long LISTEN_TIMEOUT_MILLIS = 2000;
     /**
-     * Most messages sent to the newer process and not acknowledged. With hundreds at once both processes would be busy
-     * with them and read no requests, and clients would wait.
+     * Limit on messages sent to the newer process and not acknowledged. With hundreds at once both processes would be
+     * busy with them and read no requests, and clients would wait.
      */
     private static final int MAX_UNACKNOWLEDGED_MESSAGES = 16;
 
     /** What the relay does during a handover. */
     interface HandoverHandler {
-        /** Makes the relay take no more decisions, and returns its state for the successor. */
+        /** Suspends the relay's decisions and returns its state for the successor. */
         HandoverSnapshot suspendDecisions();
 
-        /** The successor disconnected before it listened for clients: this process takes decisions again. */
+        /** The successor disconnected before it listened for clients: this process resumes its decisions. */
         void resumeDecisions();
 
         /**
@@ -66,7 +66,7 @@
         this.handler = handler;
     }
 
-    /** Listens on the socket in this process's own folder. Where that fails, an upgrade only takes longer. */
+    /** Listens on the socket in this process's own folder. If that fails, an upgrade only takes longer. */
     void listen(Path ownFolder) {
         try {
             // A process that was killed leaves its socket file behind, and binding to it would fail.
@@ -165,7 +165,7 @@
 
     /**
      * Reports the result of a call that was in flight when the successor took over. {@code waitMicros} is the wait that
-     * the host asked for, 0 where none, {@code elapsedMicros} the time that the call took, and {@code callsInFlight}
+     * the host asked for, 0 if none, {@code elapsedMicros} the time that the call took, and {@code callsInFlight}
      * the number of calls still in flight here.
      */
     void sendOutcome(String route, Policy.Result result, long waitMicros, long elapsedMicros, int callsInFlight) {
