--- a/src/main/java/drumdeal/relay/HostCall.java
+++ b/src/main/java/drumdeal/relay/HostCall.java
@@ -226,8 +226,8 @@
     }
 
     /**
-     * Ends the call after a response that is malformed or does not end: the host may have run the call. {@code code} is the
-     * status if the status line could be read.
+     * Ends the call after a response that is malformed or does not end: the host may have run the call. {@code code} is
+     * the status if the status line could be read.
      */
     void endInvalidResponse(int code) {
         loadReport = LimitReport.NONE;
--- a/src/main/java/drumdeal/relay/HostConnection.java
+++ b/src/main/java/drumdeal/relay/HostConnection.java
@@ -97,7 +97,9 @@
         return idleSince;
     }
 
-    /** True if the host closes the connection after its response to the first call, as it does to reject a connection. */
+    /**
+     * True if the host closes the connection after its response to the first call, as it does to reject a connection.
+     */
     boolean isClosedAfterFirstResponse() {
         return callCount == 1 && !reusable;
     }
