--- a/src/test/java/drumdeal/SimulatedFleet.java
+++ b/src/test/java/drumdeal/SimulatedFleet.java
@@ -14,7 +14,7 @@
     final List<SimulatedRelay> relays = new ArrayList<>();
     /** Random numbers of the fleet, which receivers use as well. */
     final SplittableRandom random;
-    /** Number of the attempts of each relay that the receiver already got. */
+    /** For each relay, the number of its attempts that were passed to the receiver. */
     private final int[] forwardedCounts;
     private long nextId;
 
--- a/src/test/java/drumdeal/SimulatedRelay.java
+++ b/src/test/java/drumdeal/SimulatedRelay.java
@@ -15,7 +15,7 @@
 
 /**
  * A relay for tests. It reports events to a decision module on a simulated clock and records the actions that the
- * module takes. The clock stands still unless {@link #advance} moves it.
+ * module takes. The clock moves only when a test moves it.
  */
 final class SimulatedRelay implements Policy.Actions {
     /** In microseconds, as all times of the decision module. */
@@ -38,7 +38,7 @@
     final List<SentAttempt> sent = new ArrayList<>();
     /** Attempts in flight, in the order sent. */
     final List<SentAttempt> attemptsInFlight = new ArrayList<>();
-    /** For each attempt, in the order sent, the latest time at which it may leave; no limit: Long.MAX_VALUE. */
+    /** For each attempt, in the order sent, the time before which it has to be sent; Long.MAX_VALUE means no limit. */
     final List<Long> latestSendTimes = new ArrayList<>();
     /** Ids of the requests that the module rejected. */
     final List<Long> rejected = new ArrayList<>();
@@ -53,7 +53,7 @@
     final List<String> sentNotes = new ArrayList<>();
     /** Lines that the module logged, each cut off before its first parenthesis, which contains figures. */
     final List<String> logLines = new ArrayList<>();
-    /** How often the module requested the whole route list. */
+    /** How often the module requested the complete route list. */
     int listFetchCount;
     /** Pending timers, each with the time when it is due and its number. */
     private final List<long[]> timers = new ArrayList<>();
--- a/src/test/java/drumdeal/relay/RelayProcess.java
+++ b/src/test/java/drumdeal/relay/RelayProcess.java
@@ -17,7 +17,7 @@
 
 /**
  * The relay as a process of its own, with stub peers for discovery and the hosts. Its state folder is kept between
- * starts, so that a test can kill and restart it.
+ * starts: a test can kill and restart it.
  */
 final class RelayProcess implements AutoCloseable {
     private static final Pattern SERVING_LINE = Pattern.compile("serving on \\S*?([0-9.]+):(\\d+)");
@@ -336,7 +336,7 @@
         }
     }
 
-    /** Returns whether discovery has received a notice with this result ({@code bounced} or {@code dead}). */
+    /** Returns whether discovery has received a notice of the message with this result, {@code bounced} or {@code dead}. */
     boolean hasSentNotice(String id, String result) {
         return discovery.requests.stream().anyMatch(r -> r.requestLine().startsWith("POST /status")
                 && r.body().contains("{\"ref\":\"" + id + "\",\"result\":\"" + result + "\""));
--- a/src/test/java/drumdeal/relay/StubPeer.java
+++ b/src/test/java/drumdeal/relay/StubPeer.java
@@ -16,7 +16,7 @@
 import java.util.function.Function;
 
 /**
- * An HTTP server for tests on an ephemeral loopback port, in the place of a host or of discovery. It records each
+ * An HTTP server for tests on an ephemeral loopback port, in place of a host or discovery. It records each
  * request and answers with the text that its responder returns.
  */
 final class StubPeer implements AutoCloseable {
@@ -56,7 +56,7 @@
         return respondWith(code, "", headers);
     }
 
-    /** The text of a response with a body; the headers are whole lines without their line breaks. */
+    /** The text of a response with a body; the headers are complete lines without their line breaks. */
     static String respondWith(int code, String body, String... headers) {
         StringBuilder text = new StringBuilder("HTTP/1.1 " + code + " X\r\n");
         for (String header : headers) {
@@ -79,7 +79,7 @@
         return requests.stream().filter(r -> r.requestLine().startsWith(prefix)).count();
     }
 
-    /** Returns whether a message with this call id has arrived, once or more often. */
+    /** Returns whether a message with this call id has arrived at least once. */
     boolean hasReceived(String id) {
         return requests.stream().anyMatch(r -> id.equals(r.callId()));
     }
