--- a/src/test/java/drumdeal/DeliveryPolicyTest.java
+++ b/src/test/java/drumdeal/DeliveryPolicyTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void failedRequestIsRetriedOnTheOtherRoute() {
+    void requestWhoseAttemptFailedIsRetriedOnTheOtherRoute() {
         relay.accept(1, "safe", 1).advance(MILLISECOND).endAttempt(1, Result.CONNECT_FAILED).advance(MILLISECOND);
         assertEquals(2, relay.sent.size());
         assertFalse(relay.sent.get(0).route().equals(relay.sent.get(1).route()));
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void afterShutdownStartsNothingIsSentAndExpiringRequestsAreRejected() {
+    void nothingIsSentDuringShutdownAndExpiringRequestsAreRejected() {
         relay.accept(1, "safe", 1).runRound(new Policy.ShutdownStarted()).accept(2, "once", 1);
         relay.endAttempt(1, Result.CONNECT_FAILED).advance(19 * SECOND);
         assertEquals(1, relay.sent.size());
@@ -111,9 +111,12 @@
         assertTrue(relay.logLines.isEmpty());
     }
 
-    /** A route that is down refuses new connections. Connections that merely break must not open its circuit. */
+    /**
+     * Healthy routes break connections too, whereas a failed one refuses new connections. So resets do not count as
+     * failures in a row.
+     */
     @Test
-    void occasionalConnectionResetsDoNotOpenTheCircuit() {
+    void threeConnectionResetsInARowDoNotOpenTheCircuit() {
         makeFrequentCalls();
         for (int id = 1; id <= 3; id++) {
             relay.accept(id, "once", 2).advance(MILLISECOND).endAttempt(id, Result.RESET);
@@ -187,7 +190,7 @@
      * would not be retried.
      */
     @Test
-    void failureOnAnUnlistedRouteIsHandledAndTheRequestRetried() {
+    void requestIsRetriedAfterAFailureOnAnUnlistedRoute() {
         relay.accept(1, "safe", 2).advance(MILLISECOND).receiveFullList();
         relay.endAttempt(1, Result.ERROR).receiveFullList(route("c", 2, "apart", "east")).advance(4 * SECOND);
         assertEquals(2, relay.countSends(1));
@@ -263,7 +266,7 @@
      * again and again.
      */
     @Test
-    void oneServedCallAfterALongPauseRaisesThePacingRateOnlyALittle() {
+    void eachServedCallRaisesALowPacingRateOnlyALittle() {
         SimulatedRelay fleetRelay = new SimulatedRelay(SimulatedRelay.fleetSettings(100, 7))
                 .receiveFullList(route("c", 2, "apart", "east"));
         for (int id = 1; id <= 10; id++) {
@@ -311,11 +314,11 @@
     }
 
     /**
-     * A relay that has run for two seconds must not divide its calls by the ten seconds over which rates are averaged:
-     * the pacing rate after the cut would be far too low.
+     * A relay that has run for less than two seconds must not divide its calls by the ten seconds over which rates are
+     * averaged: the pacing rate after the cut would be far too low.
      */
     @Test
-    void newRelayCutsItsPacingRateByTheRateSinceItsStart() {
+    void cutByANewRelayIsBasedOnTheRateSinceItsStart() {
         for (int id = 1; id <= 30; id++) {
             relay.accept(id, "safe", 2).advance(50 * MILLISECOND).endAttempt(id, Result.OK);
         }
@@ -353,7 +356,7 @@
      */
     @Test
     void callsAfterRecoveryStayWithinTheSlowStartBudget() {
-        relay.advance(10 * SECOND); // the whole span over which the rate of calls is averaged
+        relay.advance(10 * SECOND); // the span over which the rate of calls is averaged
         openCircuitOfRouteC();
         for (int id = 10; id < 60; id++) {
             relay.accept(id, "safe", 2);
@@ -378,7 +381,7 @@
     }
 
     @Test
-    void probeReplacesTheTrialIfOnlyOnceRequestsWait() {
+    void probeReplacesTheTrialIfNoWaitingRequestMayBeRepeated() {
         openCircuitOfRouteC();
         relay.accept(10, "once", 2).advance(6 * SECOND);
         assertEquals(List.of("c"), relay.probedRoutes);
@@ -386,7 +389,7 @@
     }
 
     @Test
-    void unansweredCallsOpenTheCircuitBeforeThreeTimeouts() {
+    void unansweredCallsOpenTheCircuitBeforeTheyTimeOut() {
         for (int id = 0; id < 4; id++) {
             relay.accept(id, "once", 2).advance(100 * MILLISECOND);
         }
@@ -468,7 +471,7 @@
     }
 
     @Test
-    void nothingIsSentToDrainingRemovedOrUnlistedRoutes() {
+    void nothingIsSentToRoutesMissingFromTheLatestFullList() {
         relay.receiveListChanges(new ListedRoute("a", 1, "plain", "east", Availability.DRAINING, 0),
                 new ListedRoute("b", 1, "plain", "west", Availability.REMOVED, 0));
         relay.receiveFullList(route("a2", 5, "plain", "east"));
@@ -497,7 +500,7 @@
     }
 
     @Test
-    void noDestinationOccupiesEveryCallSlot() {
+    void oneDestinationOccupiesOnlyHalfOfTheCallSlots() {
         for (int id = 0; id < 10; id++) {
             relay.accept(id, "safe", 1);
         }
@@ -596,7 +599,7 @@
     }
 
     @Test
-    void lostTokenDelaysCallsByAFewSecondsOnly() {
+    void lostTokenDelaysACallByNineSecondsAtMost() {
         SimulatedRelay fleetRelay = createRelayWithPeer();
         fleetRelay.runRound(receivedNote(PeerNoteType.COORDINATION_START)).accept(1, "safe", 1).advance(9 * SECOND);
         assertEquals(1, fleetRelay.sent.size());
@@ -646,7 +649,7 @@
     }
 
     @Test
-    void singleRelayAndRelayOfFourHundredSendAtOnce() {
+    void relaySendsAtOnceInAFleetOfOneAndOfFourHundred() {
         for (int size : new int[] {1, 400}) {
             SimulatedRelay fleetRelay = new SimulatedRelay(SimulatedRelay.fleetSettings(size, 3))
                     .receiveFullList(route("c", 2, "apart", "east"));
@@ -785,7 +788,7 @@
         assertEquals(List.of(100L), cancelledAfterUnanswered(true, "once"));
     }
 
-    /** A route that has answered nothing since a call was sent may be slow or down; no answer need be lost. */
+    /** A route that has answered no later call may be slow or down, so the timeout does not mean a lost answer. */
     @Test
     void timeoutsWithoutALaterAnswerDoNotCountAsLostAnswers() {
         assertEquals(List.of(), cancelledAfterUnanswered(false, "safe"));
@@ -845,7 +848,7 @@
     }
 
     @Test
-    void callsOfThePredecessorOccupySlotsUntilItEnds() {
+    void callsOfThePredecessorOccupySlotsUntilTheyOrThePredecessorEnd() {
         SimulatedRelay successor = new SimulatedRelay(SimulatedRelay.settings(2, 50))
                 .receiveFullList(route("d", 3, "bulk", "east"), route("a", 1, "plain", "east"));
         successor.runRound(new Policy.LearnedStateRestored(new byte[0], 2));
@@ -861,7 +864,7 @@
 
     /** CROWDED means that all connections of the route are in use. A lower pacing rate would not free one. */
     @Test
-    void crowdedRouteIsLeftAloneBrieflyWithoutACutOfThePacingRate() {
+    void crowdedRouteIsAvoidedBrieflyWithoutACutOfThePacingRate() {
         makeFrequentCalls();
         relay.accept(300, "safe", 2).advance(MILLISECOND).endAttempt(300, Result.CROWDED);
         assertEquals(1, relay.countSends(300), "not retried at once");
@@ -919,7 +922,7 @@
      * it up.
      */
     @Test
-    void refusedFleetSlowsDownWhateverTheTenantQuotas() {
+    void refusedRelaySlowsDownDespiteATenantQuota() {
         Policy.Settings fleetSettings = SimulatedRelay.fleetSettings(14, 7);
         SimulatedRelay fleetRelay = new SimulatedRelay(new Policy.Settings(7, 0, 14, "east", fleetSettings.classes(),
                 List.of(new Policy.Tenant("acme", 60)), fleetSettings.kinds(), fleetSettings.zones(),
@@ -941,7 +944,7 @@
                 "calls of one relay of fourteen in the second five seconds: " + sendsInSecondHalf);
     }
 
-    /** A relay that route a has served twenty calls a second for three seconds. */
+    /** A relay whose calls route a has served for three seconds, twenty a second. */
     private static SimulatedRelay createRelayServedTwentyPerSecond(Policy.Settings settings) {
         SimulatedRelay servedRelay = new SimulatedRelay(settings).receiveFullList(route("a", 1, "plain", "east"));
         for (int id = 1; id <= 60; id++) {
@@ -950,7 +953,7 @@
         return servedRelay;
     }
 
-    /** The number of calls within one second while more requests wait than may be sent; each is served at once. */
+    /** The number of calls within one second while more requests wait than may be sent; each call is served at once. */
     private static long countSendsInOneSecond(SimulatedRelay simulated, int firstId) {
         for (int id = firstId; id < firstId + 40; id++) {
             simulated.accept(id, "safe", 1);
--- a/src/test/java/drumdeal/FleetPacingTest.java
+++ b/src/test/java/drumdeal/FleetPacingTest.java
@@ -50,7 +50,7 @@
             long retryAfter) { }
 
     /**
-     * Plays 50 s of random requests.
+     * Simulates 50 s of random requests.
      *
      * @param limit calls that the destination accepts within any second
      * @param load requests per second, as a multiple of the limit
@@ -63,7 +63,7 @@
         "10,1.3,NOMINAL,false", "10,1.3,NONE,false", "30,1.3,NOMINAL,false", "30,1.3,NONE,false",
         "10,0.8,NOMINAL,true", "10,0.8,NONE,true", "10,1.3,NOMINAL,true", "10,1.3,NONE,true",
         "30,1.3,NOMINAL,true", "30,1.3,NONE,true"})
-    void fleetGetsMostOfTheLimitServed(int limit, double load, RateHint hint, boolean refusalsCount) {
+    void fleetGetsTheMinimumShareOfPossibleCallsServed(int limit, double load, RateHint hint, boolean refusalsCount) {
         Policy.ListedRoute listed = new Policy.ListedRoute("a", 1, "plain", "east", Availability.LISTED, limit);
         SimulatedFleet fleet = new SimulatedFleet(RELAY_COUNT, 5,
                 i -> new SimulatedRelay(settings(i, hint)).receiveFullList(listed));
--- a/src/test/java/drumdeal/FleetSlowStartTest.java
+++ b/src/test/java/drumdeal/FleetSlowStartTest.java
@@ -34,7 +34,7 @@
     /** Send times of all relays' calls within the last collapse window. */
     private final ArrayDeque<Long> recentSendTimes = new ArrayDeque<>();
 
-    /** Result of calls during the outage, and calls in one window that the cold destination bears. */
+    /** For each run, the result of calls during the outage and the budget of the cold destination. */
     private static Stream<Arguments> outages() {
         return Stream.of(Result.CONNECT_FAILED, Result.TIMEOUT, Result.ERROR).flatMap(failure ->
                 Stream.of(2, 5, 10, 30, 80, 200).map(budget -> Arguments.of(failure, budget)));
@@ -44,11 +44,11 @@
      * The relays share no state, so each has to limit its own calls after the outage.
      *
      * @param failure result of calls during the outage
-     * @param budget calls in one window that the cold destination bears
+     * @param budget most calls in one window that do not make the cold destination collapse
      */
     @ParameterizedTest
     @MethodSource("outages")
-    void allRelaysTogetherStayWithinTheCapacityOfTheRecoveringDestination(Result failure, int budget) {
+    void allRelaysTogetherStayWithinTheCallsAllowedAfterAnOutage(Result failure, int budget) {
         double capacity = budget
                 / (rules.collapseLoadMultiple() * rules.coldCapacityShare() * rules.collapseWindowMicros() / SECOND);
         String highestLoadText = "";
--- a/src/test/java/drumdeal/RandomEventsTest.java
+++ b/src/test/java/drumdeal/RandomEventsTest.java
@@ -32,7 +32,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void randomEventsBreakNoRule(long seed) {
+    void moduleBreaksNoRuleOnRandomEvents(long seed) {
         RuleChecker checker = new RuleChecker(seed);
         for (int i = 0; i < 4_000; i++) {
             checker.step();
@@ -42,7 +42,7 @@
         assertEquals(checker.requestsById.size(), checker.endedCount);
     }
 
-    /** A request that the module accepted, as the checker knows it. */
+    /** A request that was reported to the module. */
     private static final class TrackedRequest {
         RequestClass requestClass;
         int destination;
@@ -273,7 +273,7 @@
             }
         }
 
-        /** Ends a request by a rejection or a failure; a rejection tells the client that it may submit it again. */
+        /** Ends a request by a rejection or a failure; after a rejection the client may submit it again. */
         void endRequest(long id, boolean rejected) {
             TrackedRequest request = requestsById.get(id);
             assertFalse(request.ended, "request ended twice");
--- a/src/test/java/drumdeal/ResumptionTest.java
+++ b/src/test/java/drumdeal/ResumptionTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that requests resumed after a restart, for which no attempt was made, get one before their deadline. Neither
- * the restored state nor an old route list nor new requests may prevent it.
+ * Tests that requests resumed after a restart, for which no attempt was made, get one before their deadline. The
+ * restored state, an old route list or new requests must not prevent it, but a retry-after time does.
  */
 class ResumptionTest {
     private static final int REQUEST_COUNT = 40;
@@ -65,7 +65,7 @@
 
     /** The pacing rate learned before the restart would delay most of the requests beyond their deadlines. */
     @Test
-    void resumedRequestsAreTriedDespiteALowRestoredPacingRate() {
+    void mostResumedRequestsAreTriedDespiteALowRestoredPacingRate() {
         SimulatedRelay predecessor = listRoutes(new SimulatedRelay(SimulatedRelay.fleetSettings(100, 3)));
         for (int id = 100; id < 110; id++) {
             predecessor.accept(id, "safe", 2);
@@ -86,11 +86,11 @@
     }
 
     /**
-     * The circuit was open before the restart and stays open, as all calls fail. Trials alone would reach only few
-     * of the requests before their deadlines.
+     * The circuit was open before the restart and stays open, as all calls fail. Trials alone would reach only a
+     * few of the requests before their deadlines.
      */
     @Test
-    void resumedRequestsAreTriedDespiteARestoredOpenCircuit() {
+    void mostResumedRequestsAreTriedDespiteARestoredOpenCircuit() {
         SimulatedRelay predecessor = listRoutes(new SimulatedRelay(SimulatedRelay.settings(10, 50)));
         for (int id = 100; id < 112; id++) {
             predecessor.accept(id, "safe", 1).accept(id + 100, "safe", 1).advance(200 * MILLISECOND);
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void newRequestsNeitherEvictNorOvertakeResumedRequests() {
+    void newRequestsNeitherEvictResumedRequestsNorPreventTheirAttempts() {
         listRoutes(relay);
         resumeRequests(1, 15 * SECOND);
         Set<Long> rejectedSoFar = Set.copyOf(relay.rejected);
--- a/src/test/java/drumdeal/ShortDeadlineTest.java
+++ b/src/test/java/drumdeal/ShortDeadlineTest.java
@@ -88,7 +88,7 @@
                         false)));
     }
 
-    /** Checks that route a gets few calls while it answers none and is back in use once it answers. */
+    /** Checks that the circuit of route a opens and limits calls while none is answered, and closes once some are. */
     private static void assertCircuitOpensAndCloses(SimulatedRelay relay) {
         long id = 0;
         for (int i = 0; i < 100; i++) {
--- a/src/test/java/drumdeal/relay/RelayProcess.java
+++ b/src/test/java/drumdeal/relay/RelayProcess.java
@@ -336,7 +336,7 @@
         }
     }
 
-    /** Returns whether discovery has received a notice of the message with this result, {@code bounced} or {@code dead}. */
+    /** Returns whether discovery has received a notice that reports a message as {@code bounced} or {@code dead}. */
     boolean hasSentNotice(String id, String result) {
         return discovery.requests.stream().anyMatch(r -> r.requestLine().startsWith("POST /status")
                 && r.body().contains("{\"ref\":\"" + id + "\",\"result\":\"" + result + "\""));
