--- a/src/test/java/drumdeal/relay/AdminTest.java
+++ b/src/test/java/drumdeal/relay/AdminTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void idleAndIncompleteConnectionsDoNotBlockOthers() throws IOException {
+    void idleAndIncompleteConnectionsAreClosedAndDoNotBlockOthers() throws IOException {
         relay.start();
         List<Socket> idle = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void drainingRelayTurnsClientsAwayUntilDrainingIsStopped() throws IOException {
+    void drainingRelayIsNotReadyAndClosesConnectionsUntilDrainingIsStopped() throws IOException {
         relay.start();
         try (Socket idle = relay.connect()) {
             assertEquals(200, RelayProcess.exchange(idle, READY_REQUEST).status());
--- a/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
+++ b/src/test/java/drumdeal/relay/AgentConnectionRaceTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void truncatedResponseIsRequestedAgainAndAnIndentedOneIsParsed() throws IOException {
+    void listIsRequestedAgainAfterATruncatedResponseAndAnIndentedOneIsParsed() throws IOException {
         AtomicInteger watches = new AtomicInteger();
         String listUpdate = respondWith(200, RelayProcess.targetListJson(2, false,
                 RelayProcess.targetJson("h1", 7, "one", "terminating", host.address()))
@@ -64,7 +64,7 @@
         relay.start();
         await(() -> relay.readLog().contains("discovery: version 2, 1 changes"));
         assertTrue(relay.readLog().contains("no list"), relay.readLog());
-        // The relay logs the list before the next round takes it in, so the figure may follow the line above.
+        // The relay logs the list before the next round applies it, so the figure may change after the line above.
         await(() -> relay.fetchStats().contains("\"members_unavailable\":1"));
         assertEquals(202, relay.submit("held", "safe", 7));
         assertEquals(0, host.requests.size(), "the host drains");
--- a/src/test/java/drumdeal/relay/DeliveryTest.java
+++ b/src/test/java/drumdeal/relay/DeliveryTest.java
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void unansweredCallEndsAtTheMessageDeadline() throws IOException {
+    void unsafeMessageWithoutAResponseByItsDeadlineIsReportedDead() throws IOException {
         host.setResponder(request -> StubPeer.NO_RESPONSE);
         assertEquals(202, relay.start().submit("u4", "unsafe", 7, 700, "x"));
         await(() -> relay.hasSentNotice("u4", "dead"));
@@ -203,8 +203,8 @@
     @Test
     void messageOfAClientThatDisconnectsBeforeItsResponseIsNotDelivered() throws IOException {
         relay.roundPeriodSeconds("0.5").start();
-        // On a busy machine a whole round period may pass between the request and the disconnect. The relay then
-        // delivers the message rightly, and the test tries again.
+        // On a busy machine a full round period may pass between the request and the disconnect. Then the relay may
+        // deliver the message, and the test tries again.
         boolean withdrawn = false;
         for (int i = 0; i < MAX_TRIES && !withdrawn; i++) {
             String leavingId = "left" + i;
@@ -293,8 +293,8 @@
     }
 
     /**
-     * Makes the host answer the first call with status 503 and close its connection, as a host at its connection limit
-     * does. The function answers later calls.
+     * Makes the host answer the first call with status 503 and {@code Connection: close}, as a host at its connection
+     * limit does. The function answers later calls.
      */
     private void simulateConnectionLimit(Function<StubPeer.Request, String> laterResponses) {
         host.setResponder(request -> host.countRequests("POST") == 1
--- a/src/test/java/drumdeal/relay/DiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/DiscoveryTest.java
@@ -56,8 +56,8 @@
     }
 
     /**
-     * A relay in a fleet of the given size. Its configuration contains no targets, so it requests the list at once, and
-     * has the given text at the start of its {@code contract} settings.
+     * A relay in a fleet of the given size, with the given text at the start of its {@code contract} settings. Its
+     * configuration contains no targets, so it requests the list at once.
      */
     private RelayProcess createRelayInFleetOf(int size, String contractSettings) {
         return new RelayProcess(folder, discovery).editConfiguration(text -> text.replace("\"fleet-size\":1,",
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void relayOfAVeryLargeFleetFetchesTheListWithinTheRequiredInterval() throws IOException {
+    void relayOfAVeryLargeFleetFetchesTheListAgainAndAgain() throws IOException {
         publishNewList();
         try (RelayProcess fleetRelay = createRelayInFleetOf(1_000_000, "\"must-ask-in-s\":4,")) {
             fleetRelay.start();
--- a/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
+++ b/src/test/java/drumdeal/relay/IdleHostConnectionTest.java
@@ -27,8 +27,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Idle connections to a host that close just when a call is about to be sent on them. The tests run their steps as
- * tasks on the event loop, so the loop reads nothing from the connections between the steps of one task.
+ * Connections to a host that close, or bring a response, just as a call is sent on them or cancelled. The tests run
+ * their steps as tasks on the event loop, so the loop reads nothing from the connections between the steps of one task.
  */
 class IdleHostConnectionTest implements HostClient.ResultListener {
     private final MultiThreadIoEventLoopGroup eventLoopGroup =
@@ -96,7 +96,7 @@
     void callIsNotSentOnAConnectionThatTheHostClosedSinceTheLastRead() throws Exception {
         leaveConnectionIdle();
         eventLoop.submit(() -> {
-            // The event loop is running this task, so it has not read the end of the connection before the next call.
+            // The event loop is running this task, so it can't read the end of the connection before the next call.
             closeHostConnections();
             send("second");
         }).sync();
--- a/src/test/java/drumdeal/relay/InputValidationTest.java
+++ b/src/test/java/drumdeal/relay/InputValidationTest.java
@@ -44,7 +44,7 @@
     void invalidRequestsAreRejected() throws IOException {
         relay.start();
         // The second watch shows that the relay has applied the response to the first one. Before that the list from
-        // the configuration may be outdated, and clients that name an unknown destination are told to retry.
+        // the configuration may be outdated, and a message for an unknown destination gets status 503, not 400.
         await(() -> discovery.countRequests("GET /api/targets?after=1&") == 2);
         String validRequest = RelayProcess.messageRequest("x1", "keyed", 7, 1000, "hello");
         assertEquals(400, relay.submit("x2", "nosuch", 7));
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void invalidConfigurationEndsTheProcessWithOneLogLine() throws IOException, InterruptedException {
+    void invalidConfigurationOrModeEndsTheProcessWithOneLogLine() throws IOException, InterruptedException {
         Path config = Files.writeString(folder.resolve("bad.json"), "{\"seed\":\"zz\",\"settings\":{},\"limits\":{}}");
         for (String mode : new String[] {"serve", "nosuch"}) {
             ProcessBuilder builder = new ProcessBuilder(
--- a/src/test/java/drumdeal/relay/JournalTest.java
+++ b/src/test/java/drumdeal/relay/JournalTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void endRecordsFitWhereAttemptRecordsNoLongerDo() throws IOException {
+    void endRecordsFitWhenAttemptRecordsNoLongerDo() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             List<Message> messages = new java.util.ArrayList<>();
             for (int i = 1; i <= 100; i++) {
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void recordWithAWrongChecksumIsTruncated() throws IOException {
+    void recordWithAWrongChecksumIsDropped() throws IOException {
         try (Journal journal = new Journal(folder, DISK_LIMIT_BYTES)) {
             journal.recordAccepted(createMessage(1, 10));
         }
--- a/src/test/java/drumdeal/relay/PipelinedRequestsTest.java
+++ b/src/test/java/drumdeal/relay/PipelinedRequestsTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A client that sends hundreds of requests at once. The relay must not handle them in one go: all other clients, and
- * the timers that are due, would wait meanwhile. The test itself runs the tasks of the event loop.
+ * A client that sends hundreds of requests at once. The relay must not handle them in a single task of the event loop:
+ * all other clients, and the timers that are due, would wait meanwhile. The test itself runs the tasks of the loop.
  */
 class PipelinedRequestsTest {
     private static final int REQUEST_COUNT = 400;
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void pipelinedRequestsLetOtherTasksRunInBetween() {
+    void pipelinedRequestsLetOtherTasksRunInBetweenAndShareFlushes() {
         EmbeddedChannel client = createClientChannel();
         client.eventLoop().schedule(() -> events.add(OTHER_TASK), 0, TimeUnit.MILLISECONDS);
         client.writeInbound(Unpooled.copiedBuffer("GET /nosuch HTTP/1.1\r\nHost: x\r\n\r\n".repeat(REQUEST_COUNT),
--- a/src/test/java/drumdeal/relay/RaceConditionTest.java
+++ b/src/test/java/drumdeal/relay/RaceConditionTest.java
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void requestSentWhileItsConnectionClosesMeetsAnOrderlyEndAndNoReset() throws IOException, InterruptedException {
+    void requestSentOnAClosingConnectionCausesNoResetAndIsNotDelivered() throws IOException, InterruptedException {
         relay.start();
         try (Socket incomplete = relay.connect(); Socket idle = relay.connect()) {
             incomplete.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes());
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void endSignalDuringAHandoverLeavesOpenMessagesToTheNextProcess() throws IOException, InterruptedException {
+    void endSignalDuringAHandoverNeitherLosesNorRepeatsAMessage() throws IOException, InterruptedException {
         relay.start();
         try (SocketChannel successor = SocketChannel.open(Handover.socketAddress(relay.stateFolder()))) {
             UpgradeTest.requestHandover(successor);
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void hangingHostGetsUnsafeMessagesOnlyOnceThroughAnEndSignalAndTwoKills()
+    void unresponsiveHostGetsUnsafeMessagesOnlyOnceDespiteAnEndSignalAndTwoKills()
             throws IOException, InterruptedException {
         host.setResponder(request -> StubPeer.NO_RESPONSE);
         relay.start();
@@ -202,7 +202,7 @@
     }
 
     @Test
-    void requestSentWhileItsIdleConnectionTimesOutMeetsAnOrderlyEndAndIsServedWhenSentAgain() throws IOException {
+    void requestSentOnATimedOutIdleConnectionCausesNoResetAndIsServedWhenSentAgain() throws IOException {
         relay.start();
         try (Socket idle = relay.connect()) {
             assertEquals(200, RelayProcess.exchange(idle, READY_REQUEST).status());
--- a/src/test/java/drumdeal/relay/ReloadTest.java
+++ b/src/test/java/drumdeal/relay/ReloadTest.java
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void openMessageKeepsItsTermsWhenItsClassIsRemovedOrChangedAlsoAcrossARestart() throws IOException {
+    void openMessageKeepsItsTermsAcrossAKillAfterItsClassWasRemovedOrChanged() throws IOException {
         host.setResponder(request -> StubPeer.NO_RESPONSE);
         relay.start();
         assertEquals(202, relay.submit("o1", "unsafe", 7));
--- a/src/test/java/drumdeal/relay/RequestClassRegistryTest.java
+++ b/src/test/java/drumdeal/relay/RequestClassRegistryTest.java
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void messageWithoutANewlyRequiredKeyIsAcceptedAsAtMostOnce() {
+    void messageWithoutANewlyRequiredKeyIsAcceptedAsOnceDuringTheChangeover() {
         RequestClassRegistry registry = new RequestClassRegistry(
                 settings(12, requestClass("c", Idempotency.REPEATABLE)));
         registry.update(settings(12, requestClass("c", Idempotency.BY_KEY)), 100_000);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void classWhoseGoalIsCloseToItsDeadlineIsAccepted() {
+    void classWhoseGoalIsCloseToItsDeadlineKeepsItsTimeLimit() {
         RequestClassRegistry registry = new RequestClassRegistry(settings(12, new Policy.RequestClass(
                 "close", Idempotency.ONCE, KeyScope.ALL, 0, 9_500_000, 10_000_000, 1, 0.3, false)));
         assertEquals(10_000_000, registry.termsFor(content("close", null), 0).requestClass().timeLimitMicros());
--- a/src/test/java/drumdeal/relay/RestartTest.java
+++ b/src/test/java/drumdeal/relay/RestartTest.java
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void deliveredMessageIsNotSentAgain() throws IOException {
+    void deliveredMessageIsNotSentAgainAfterAKill() throws IOException {
         host.setResponder(request -> respondWithStatus(200));
         relay.start().submit("d1", "unsafe", 7);
         await(() -> host.requests.size() == 1 && relay.readOpenMessages().isEmpty());
@@ -122,13 +122,13 @@
     }
 
     @Test
-    void unlistedDestinationIsRejectedUntilDiscoverySendsItsList() throws IOException {
+    void unlistedDestinationGetsStatus503BeforeDiscoveryHasSentItsList() throws IOException {
         assertEquals(503, relay.start().submit("x1", "safe", 99));
         assertEquals(0, host.requests.size());
     }
 
     @Test
-    void unacknowledgedNoticeIsSentAgain() throws IOException {
+    void unacknowledgedNoticeIsSentAgainAfterAKill() throws IOException {
         discovery.setResponder(request -> StubPeer.NO_RESPONSE);
         host.setResponder(request -> StubPeer.CLOSE_CONNECTION);
         relay.start().submit("n1", "unsafe", 7);
@@ -211,7 +211,7 @@
     }
 
     @Test
-    void gracefulStopAnswersClientsAndLeavesOpenMessagesToTheJournal() throws IOException, InterruptedException {
+    void gracefulStopAnswersClientsAndLeavesOpenMessagesToTheNextProcess() throws IOException, InterruptedException {
         relay.start();
         try (Socket idle = relay.connect(); Socket busy = relay.connect()) {
             String ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
--- a/src/test/java/drumdeal/relay/UnreadRequestTest.java
+++ b/src/test/java/drumdeal/relay/UnreadRequestTest.java
@@ -18,7 +18,7 @@
     private static final int BUDGET_MILLIS = 20_000;
 
     private int submissionCount;
-    /** How long the last message stayed unread, at least. */
+    /** Lower bound on the time for which the last message stayed unread. */
     private long unreadMillis;
 
     @BeforeEach
--- a/src/test/java/drumdeal/relay/UnresponsiveDiscoveryTest.java
+++ b/src/test/java/drumdeal/relay/UnresponsiveDiscoveryTest.java
@@ -28,7 +28,7 @@
     private static final long DEEMED_DELIVERED_MILLIS = 6000;
     /** For a watch, the same time from the end of its requested duration, if that is later. */
     private static final long DEEMED_DELIVERED_AFTER_WAIT_MILLIS = 2000;
-    /** How long discovery takes to respond while it serves a whole fleet. */
+    /** How long discovery takes to respond while it serves all relays of a fleet. */
     private static final long RESPONSE_TIME_MILLIS = 1000;
     private static final int SEED_COUNT = 10;
     private static final Pattern WAIT_PARAMETER = Pattern.compile("wait_ms=(\\d+)");
